--- a/src/distribution/relay_actor.cpp
+++ b/src/distribution/relay_actor.cpp
@@ -115,7 +115,7 @@
   for (;;) {
     auto accepted = co_await self.listener_.accept();
     if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end == transport::Listener::End::kNoDescriptor) {
+    if (accepted.end != transport::Listener::End::kTaken) {
       co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_again);
       continue;
     }
--- a/src/flows_tool/collector.cpp
+++ b/src/flows_tool/collector.cpp
@@ -73,7 +73,7 @@
   for (;;) {
     auto accepted = co_await listener.accept();
     if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end == transport::Listener::End::kNoDescriptor) {
+    if (accepted.end != transport::Listener::End::kTaken) {
       co_await self.scheduler_.sleep_until(Scheduler::now() + 0.1);
       continue;
     }
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1023,6 +1023,11 @@
     : mind_(std::make_unique<Mind>(now, std::move(settings), seed, actions)) {}
 Director::~Director() = default;
 std::size_t Director::nodes_known() const { return mind_->index.size(); }
+Seconds Director::oldest_copy(Seconds now, const RequestId& id) {
+  Mind& m = mind_->at(now);
+  const Request* request = m.held(id);
+  return request ? m.oldest_copy(*request) : 0;
+}
 
 void Director::list_starts(Seconds now, ListScope scope) {
   Mind& m = mind_->at(now);
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -114,6 +114,10 @@
   void group_purged(Seconds now, GroupId group, Seconds age);
   void woken(Seconds now, const TimerToken& token);
 
+  // The oldest copy that will do for a request now: it may be less than when the attempt was decided on,
+  // where a purge has come since. 0 where any age will do, or the request is not known (any more).
+  Seconds oldest_copy(Seconds now, const RequestId& request);
+
   // Those listed, and those gone whose figures are still needed.
   std::size_t nodes_known() const;
 
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -15,6 +15,9 @@
 struct Wording {
   std::string lane, name, piece, cached, body;
   std::uint32_t grade_number = 0, depot_number = 0;  // for flow records alone; not worded
+  // Set by the client's connection once the client has closed, reset or left it; not worded. From then on no
+  // attempt for the request begins.
+  bool client_gone = false;
 };
 
 std::string serve_line(const RequestId& request, const Wording& wording, Seconds wait, const NodeId& node,
--- a/src/routing/front.cpp
+++ b/src/routing/front.cpp
@@ -62,12 +62,17 @@
   for (;;) {
     auto accepted = co_await self.listener_.accept();
     if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end == transport::Listener::End::kNoDescriptor) {
+    if (accepted.end == transport::Listener::End::kDescriptorLimit) {
       ++self.counters_.accept_paused;
       if (self.make_room()) continue;
       co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.linger);
       continue;
     }
+    if (accepted.end == transport::Listener::End::kTransientFailure) {
+      ++self.counters_.accept_paused;
+      co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_again);
+      continue;
+    }
     if (self.clients_.size() >= self.limits_.clients) {
       // Whoever has closed already, or has just asked for something, is heard of first.
       co_await self.scheduler_.sleep_until(Scheduler::now());
--- a/src/routing/module.cpp
+++ b/src/routing/module.cpp
@@ -313,8 +313,9 @@
   request->outs.push_back({node, now});
   ++counters_.attempts;
   const auto peer = peers_.find(node);
-  // Its time may have gone by while the process stood still: nobody waits for it any more.
-  if (peer == peers_.end() || now >= request->hard_stop)
+  // Its time may have gone by while the process stood still, or its client has left: nobody waits for it any
+  // more.
+  if (peer == peers_.end() || now >= request->hard_stop || request->wording->client_gone)
     return ended(id, number, node, Result::kNotSent, Note::kNone, 0, {}, {});
   const Seconds until = time_out > 0 ? std::min(now + time_out, request->hard_stop) : request->hard_stop;
   peer->second->attempt(id, number, request->wording, fill, until);
--- a/src/routing/module.hpp
+++ b/src/routing/module.hpp
@@ -62,6 +62,9 @@
   void turned_back() { ++counters_.taken, ++counters_.bounced, ++counters_.turned_back; }
   void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result, Note note,
              Seconds waited, LoadReport report, Content content) override;
+  Seconds oldest_copy(const RequestId& request) override {
+    return director_->oldest_copy(clock_.now(), request);
+  }
 
  private:
   struct Out {
--- a/src/routing/peer.cpp
+++ b/src/routing/peer.cpp
@@ -391,7 +391,7 @@
   transport::Connected connected = co_await transport::connect(scheduler_, address_, until);
   if (connected.end != transport::ConnectEnd::kUp) {
     ++counters_.links_failed;
-    const bool ours = connected.end == transport::ConnectEnd::kNoDescriptor;
+    const bool ours = connected.end == transport::ConnectEnd::kLocalFailure;
     const bool reset = connected.end == transport::ConnectEnd::kReset;
     link->state = Link::State::kClosed;
     forget(link);
--- a/src/routing/peer.hpp
+++ b/src/routing/peer.hpp
@@ -33,6 +33,9 @@
   // The one end of an attempt.
   virtual void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
                      Note note, Seconds waited, LoadReport report, Content content) = 0;
+  // The oldest copy that will do for the request at this moment (Director::oldest_copy). Asked when the first
+  // byte of an attempt is about to be written.
+  virtual Seconds oldest_copy(const RequestId& request) = 0;
 };
 
 class Peer : public std::enable_shared_from_this<Peer> {
--- a/src/transport/scheduler.cpp
+++ b/src/transport/scheduler.cpp
@@ -138,6 +138,7 @@
     constexpr auto kEnded = EPOLLERR | EPOLLHUP;
     if (events[i].events & (EPOLLIN | EPOLLRDHUP | kEnded)) watch.wake(watch.reading_, Wake::kReady);
     if (events[i].events & (EPOLLOUT | kEnded)) watch.wake(watch.writing_, Wake::kReady);
+    if (events[i].events & (EPOLLRDHUP | kEnded)) watch.peer_closed();
   }
 }
 
@@ -155,12 +156,19 @@
 void Watch::close() {
   if (closed_) return;
   closed_ = true;
+  on_peer_closed_ = Call();
   epoll_ctl(scheduler_.epoll_, EPOLL_CTL_DEL, descriptor_, nullptr);
   --scheduler_.watched_;
   wake(reading_, Wake::kClosed);
   wake(writing_, Wake::kClosed);
 }
 
+void Watch::peer_closed() noexcept {
+  if (!on_peer_closed_) return;
+  Call what = std::move(on_peer_closed_);
+  scheduler_.run_guarded(what);
+}
+
 void Watch::Wait::await_suspend(std::coroutine_handle<> handle) {
   side.waiting = handle;
   side.timed = until < kNever;
--- a/src/transport/scheduler.hpp
+++ b/src/transport/scheduler.hpp
@@ -116,17 +116,22 @@
   Wait readable(Seconds until) { return {*this, reading_, until}; }
   Wait writable(Seconds until) { return {*this, writing_, until}; }
 
+  // Called once when the other side has closed or reset the connection; see Socket.
+  void on_peer_closed(Call what) { on_peer_closed_ = std::move(what); }
+
   // Whoever waits is woken with kClosed, and nobody can wait any more.
   void close();
 
  private:
   friend class Scheduler;
   void wake(Side& side, Wake result);
+  void peer_closed() noexcept;
 
   Scheduler& scheduler_;
   int descriptor_;
   bool closed_ = false;
   Side reading_, writing_;
+  Call on_peer_closed_;
 };
 
 }  // namespace hareramp::transport
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -17,7 +17,28 @@
 namespace hareramp::transport {
 
 namespace {
+constexpr int kGoneInARow = 64;  // connections that ended before they were accepted, taken in one turn
+
 bool would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
+
+// Errors of a connect that arise on this machine, before anything could reach the other side (connect(2)).
+bool is_local(int error) {
+  switch (error) {
+    case EADDRNOTAVAIL:  // no local port is free
+    case EAGAIN:
+    case EACCES:
+    case EPERM:  // a local firewall rule
+    case ENETUNREACH:
+    case ENETDOWN:
+    case ENOBUFS:
+    case ENOMEM:
+    case EMFILE:
+    case ENFILE:
+      return true;
+    default:
+      return false;
+  }
+}
 }  // namespace
 
 std::optional<Address> Address::parse(std::string_view text) {
@@ -184,22 +205,31 @@
 Task<Connected> connect(Scheduler& scheduler, Address to, Seconds until, const Address* from) {
   Connected connected;
   const int descriptor = ::socket(to.family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  connected.end = ConnectEnd::kNoDescriptor;
+  connected.end = ConnectEnd::kLocalFailure;
+  connected.error = descriptor < 0 ? errno : 0;
   if (descriptor < 0) co_return connected;
   try {
     connected.socket = Socket(scheduler, descriptor);
-  } catch (const std::system_error&) {
+  } catch (const std::system_error& error) {
+    connected.error = error.code().value();
     co_return connected;
   }
-  connected.end = ConnectEnd::kRefused;
   const int on = 1;
   setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  if (from && ::bind(descriptor, from->raw(), from->size()) != 0) co_return connected;
+  if (from && ::bind(descriptor, from->raw(), from->size()) != 0) {
+    connected.error = errno;
+    co_return connected;
+  }
   if (::connect(descriptor, to.raw(), to.size()) == 0) {
     connected.end = ConnectEnd::kUp;
     co_return connected;
   }
-  if (errno != EINPROGRESS && errno != EINTR) co_return connected;
+  if (errno != EINPROGRESS && errno != EINTR) {
+    connected.error = errno;
+    connected.end = is_local(errno) ? ConnectEnd::kLocalFailure : ConnectEnd::kRefused;
+    co_return connected;
+  }
+  connected.end = ConnectEnd::kRefused;
   for (;;) {
     const Wake wake = co_await connected.socket.watch_->writable(until);
     if (wake == Wake::kTimedOut) connected.end = ConnectEnd::kTimedOut;
@@ -207,7 +237,9 @@
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &error, &size);
+    connected.error = error;
     if (error == ECONNRESET) connected.end = ConnectEnd::kReset;
+    if (is_local(error)) connected.end = ConnectEnd::kLocalFailure;
     if (error != 0) co_return connected;
     if (Address::peer(descriptor)) break;
   }
@@ -229,7 +261,7 @@
 
 Task<Listener::Accepted> Listener::accept() {
   Accepted accepted;
-  for (;;) {
+  for (int gone = 0;;) {
     if (!socket_.open()) co_return accepted;
     const int descriptor = ::accept4(socket_.descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (descriptor >= 0) {
@@ -238,16 +270,19 @@
       try {
         accepted.socket = Socket(scheduler_, descriptor);
         accepted.end = End::kTaken;
-      } catch (const std::system_error&) {  // it can't be watched: as if there were no descriptor
-        accepted.end = End::kNoDescriptor;
+      } catch (const std::system_error& error) {  // it can't be watched
+        accepted.end = End::kTransientFailure;
+        accepted.error = error.code().value();
       }
       co_return accepted;
     }
-    if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-      accepted.end = End::kNoDescriptor;
+    // That one client went away before it was taken, or a signal came; what persists must not spin.
+    if ((errno == ECONNABORTED || errno == EPROTO || errno == EINTR) && ++gone < kGoneInARow) continue;
+    if (!would_block(errno)) {
+      accepted.error = errno;
+      accepted.end = errno == EMFILE ? End::kDescriptorLimit : End::kTransientFailure;
       co_return accepted;
     }
-    if (!would_block(errno)) continue;  // that one client went away before it was taken
     const Wake wake = co_await socket_.watch_->readable(kNever);
     if (wake == Wake::kClosed) co_return accepted;
   }
--- a/src/transport/socket.hpp
+++ b/src/transport/socket.hpp
@@ -89,6 +89,10 @@
   auto writable(Seconds until) { return watch_->writable(until); }
   // The other side has closed or reset it: bytes written now would be lost.
   bool ended() const;
+  // Calls once, as soon as the other side has closed its sending side or has reset the connection, also while
+  // bytes that it sent before are unread. Called from within the scheduler's wait, before any coroutine that
+  // the same wait woke; may close this socket.
+  void on_peer_closed(Call what) { watch_->on_peer_closed(std::move(what)); }
   // Nothing more will be written; what was is still delivered.
   void finish();
   // Bytes that come no more are thrown away, and whoever waits is woken.
@@ -106,10 +110,13 @@
 };
 
 // kReset: it came up, and the other side ended it at once.
-enum class ConnectEnd { kUp, kRefused, kReset, kTimedOut, kNoDescriptor };
+// kLocalFailure: our own side could not even ask (no descriptor, no memory, no port, no network); this says
+// nothing of the other side.
+enum class ConnectEnd { kUp, kRefused, kReset, kTimedOut, kLocalFailure };
 
 struct Connected {
   ConnectEnd end = ConnectEnd::kRefused;
+  int error = 0;  // errno of the call that failed; 0 where none did
   Socket socket;
 };
 // from, where it is given, is the address of our own side; port 0 takes any.
@@ -119,9 +126,13 @@
  public:
   Listener(Scheduler& scheduler, const Address& at, int backlog);  // throws std::system_error
 
-  enum class End { kTaken, kNoDescriptor, kClosed };
+  // kDescriptorLimit: this process has no descriptor left, which closing one of its own mends.
+  // kTransientFailure: the system could not for now (its table is full, no memory, the network is down); the
+  // caller tries again after a pause.
+  enum class End { kTaken, kDescriptorLimit, kTransientFailure, kClosed };
   struct Accepted {
     End end = End::kClosed;
+    int error = 0;  // errno, where it was not taken
     Socket socket;
   };
   Task<Accepted> accept();
--- a/tests/routing/peer_test.cpp
+++ b/tests/routing/peer_test.cpp
@@ -36,6 +36,7 @@
     trace += "\n";
     ++ends;
   }
+  Seconds oldest_copy(const RequestId&) override { return oldest; }
   void until(int ended) {
     CHECK(runs_until(scheduler, [&] { return ends >= ended; }));
   }
@@ -47,6 +48,7 @@
   std::size_t links = 0;
   std::shared_ptr<Peer> peer;
   std::string trace;
+  Seconds oldest = 0;  // what the module answers when it is asked for the oldest copy that will do
   int ends = 0;
 };
 
