--- a/src/routing/peer.cpp
+++ b/src/routing/peer.cpp
@@ -51,7 +51,8 @@
   // The first byte of it has left.
   bool begun(const RequestId& request) const {
     if (!out.empty() && out.front().request == request) return out_sent > 0;
-    return std::none_of(out.begin(), out.end(), [&](const Piece& piece) { return piece.request == request; });
+    return std::none_of(out.begin(), out.end(),
+                        [&](const UpstreamMessage& piece) { return piece.request == request; });
   }
 
   Peer& peer;
@@ -61,7 +62,7 @@
   flow::Tap* tap = nullptr;  // in the socket, as long as that is open
   transport::Buffer in;
   protocol::AnswerParser parser;
-  std::deque<Piece> out;
+  std::deque<UpstreamMessage> out;
   std::size_t out_sent = 0;  // bytes of the first piece that are written
   bool draining = false, retiring = false, doubted = false;
   bool served = false;  // the node has answered something on it but that it is full
@@ -93,9 +94,11 @@
 void Peer::attempt(const RequestId& request, AttemptNumber number,
                    std::shared_ptr<const protocol::Wording> wording, const FillTerms& fill,
                    Seconds give_up_at) {
-  mailbox_.post([this, request, number, wording = std::move(wording), fill, give_up_at] {
-    send(request, number, *wording, fill, give_up_at);
-  });
+  mailbox_.post(
+      [this, number,
+       message = UpstreamMessage::attempt(request, std::move(wording), fill, give_up_at)]() mutable {
+        send(number, std::move(message));
+      });
 }
 
 void Peer::cancel(const RequestId& request, AttemptNumber number) {
@@ -146,18 +149,19 @@
   return link;
 }
 
-void Peer::send(const RequestId& request, AttemptNumber number, const protocol::Wording& wording,
-                const FillTerms& fill, Seconds give_up_at) {
-  const LinkPointer link = choose_link(request);
-  if (!link) return told_.ended(request, number, node_, Result::kNotSent, Note::kNone, 0, {}, {});
+void Peer::send(AttemptNumber number, UpstreamMessage message) {
+  const RequestId request = message.request;
   const Seconds now = Scheduler::now();
+  const LinkPointer link = message.may_begin(now) ? choose_link(request) : nullptr;
+  if (!link) return told_.ended(request, number, node_, Result::kNotSent, Note::kNone, 0, {}, {});
+  const Seconds give_up_at = message.give_up_at;
   Open open;
   open.number = number;
-  open.grade = {wording.grade_number}, open.depot = {wording.depot_number};
+  open.grade = {message.wording->grade_number};
+  open.depot = {message.wording->depot_number};
   open.timer = watch(request, number, std::min(give_up_at, now + limits_.begin_within), give_up_at);
   link->open.emplace(request, open);
-  link->out.push_back({protocol::serve_line(request, wording, give_up_at - now, node_, fill), request});
-  if (limits_.hold_back > 0 && !wording.body.empty()) link->out.back().held = 2;
+  link->out.push_back(std::move(message));
   pump(link);
 }
 
@@ -191,12 +195,12 @@
       end(link, request, result == Result::kTimedOut ? Result::kUnreachable : Result::kNotSent, Note::kNone,
           0, {}, {});
       if (begun) return drop(link);
-      std::erase_if(link->out, [&](const Piece& piece) { return piece.request == request; });
+      std::erase_if(link->out, [&](const UpstreamMessage& piece) { return piece.request == request; });
       return settle(link);
     }
     const Seconds now = Scheduler::now();
     link->remember(request);
-    link->out.push_back({protocol::cancel_line(request), {}});
+    link->out.push_back(UpstreamMessage::cancel(request));
     // Guards against a node that vanished without a word: its connections look open for ever. Also meets a
     // path that went dead. Costs a connection set up anew where a node was only slow.
     if (link->heard_at < open.written_at && now - open.written_at > limits_.link_doubt) {
@@ -274,8 +278,9 @@
   while (!link->open.empty()) {
     const RequestId request = link->open.begin()->first;
     Open open = link->open.begin()->second;
-    const auto piece = std::find_if(link->out.begin(), link->out.end(),
-                                    [&](const Piece& waiting) { return waiting.request == request; });
+    const auto piece = std::find_if(link->out.begin(), link->out.end(), [&](const UpstreamMessage& waiting) {
+      return waiting.request == request;
+    });
     LinkPointer other;
     if (!open.written && !open.moved_on && may_move_on && !gone_ && piece != link->out.end())
       other = choose_link(request);
@@ -287,7 +292,7 @@
     open.moved_on = true;
     link->open.erase(request);
     other->open.emplace(request, open);
-    piece->whole_at = 0;
+    piece->bytes.clear();  // out of date by the time they are written there
     other->out.push_back(std::move(*piece));
     pump(other);
   }
@@ -311,27 +316,34 @@
   link.tap->request_ended(label);
 }
 
-// Notes what has been written whole.
+// Notes so many more bytes of the first message as written, and whether that is whole now.
 void Peer::wrote(Link& link, std::size_t bytes) {
-  if (link.tap) {
-    std::size_t left = bytes, begun = link.out_sent;
-    for (auto piece = link.out.begin(); left > 0 && piece != link.out.end(); ++piece) {
-      const std::size_t some = std::min(left, piece->bytes.size() - begun);
-      const auto found = link.open.find(piece->request);
-      if (found != link.open.end()) found->second.octets += some;
-      left -= some, begun = 0;
-    }
-  }
+  const UpstreamMessage& first = link.out.front();
+  const auto found = link.open.find(first.request);
+  const bool of_attempt = found != link.open.end();
+  if (of_attempt) found->second.octets += bytes;
   link.out_sent += bytes;
-  while (!link.out.empty() && link.out_sent >= link.out.front().bytes.size()) {
-    link.out_sent -= link.out.front().bytes.size();
-    const auto found = link.open.find(link.out.front().request);
-    if (found != link.open.end()) {
-      found->second.written = true;
-      found->second.written_at = Scheduler::now();
-    }
-    link.out.pop_front();
+  if (link.out_sent < first.bytes.size()) return;
+  if (of_attempt) {
+    found->second.written = true;
+    found->second.written_at = Scheduler::now();
   }
+  link.out_sent = 0;
+  link.out.pop_front();
+}
+
+bool Peer::prepare_first(const LinkPointer& link) {
+  UpstreamMessage& message = link->out.front();
+  const Seconds now = Scheduler::now();
+  if (message.may_begin(now)) {
+    if (message.wording)
+      message.encode(now, node_, told_.oldest_copy(message.request), limits_.hold_back > 0);
+    return true;
+  }
+  const RequestId request = message.request;
+  link->out.pop_front();
+  end(link, request, Result::kNotSent, Note::kNone, 0, {}, {});
+  return false;
 }
 
 // Writes as much as goes. False: the rest must wait until the socket takes more.
@@ -340,7 +352,8 @@
 // write had run, and so it could not be sent again. Costs a write that moment.
 bool Peer::write_out(const LinkPointer& link) {
   while (!link->out.empty()) {
-    Piece& piece = link->out.front();
+    if (link->out_sent == 0 && !prepare_first(link)) continue;
+    UpstreamMessage& piece = link->out.front();
     const std::size_t first = piece.bytes.size() - piece.held;
     const bool whole = link->out_sent >= first;
     if (whole && piece.held > 0) {
@@ -369,9 +382,14 @@
 
 // Tries before it waits, each time: room that came in between is not told again.
 Task<> Peer::drain(std::shared_ptr<Peer> self, LinkPointer link) {
-  while (link->state == Link::State::kUp && !self->write_out(link)) {
-    const transport::Wake wake = co_await link->socket.writable(kNever);
-    if (wake != transport::Wake::kReady) break;
+  try {
+    while (link->state == Link::State::kUp && !self->write_out(link)) {
+      const transport::Wake wake = co_await link->socket.writable(kNever);
+      if (wake != transport::Wake::kReady) break;
+    }
+  } catch (...) {  // no memory for what is to be written, say: nothing else would write it later
+    self->drop(link);
+    throw;
   }
   link->draining = false;
 }
--- a/src/routing/peer.hpp
+++ b/src/routing/peer.hpp
@@ -13,6 +13,7 @@
 #include "flow/exporter.hpp"
 #include "policy.hpp"
 #include "protocol/lines.hpp"
+#include "routing/upstream_message.hpp"
 #include "transport/buffer.hpp"
 #include "transport/mailbox.hpp"
 #include "transport/scheduler.hpp"
@@ -62,18 +63,11 @@
     ipfix::NameNumber grade, depot;  // for flow records, as is what was written of it
     std::size_t octets = 0;
   };
-  struct Piece {
-    std::string bytes;
-    RequestId request;     // empty: a cancel, which nobody waits for
-    std::size_t held = 0;  // bytes of its end that are held back for a moment
-    Seconds whole_at = 0;  // when they may go, once all before them has gone
-  };
   class Link;
   using LinkPointer = std::shared_ptr<Link>;
 
   LinkPointer choose_link(const RequestId& request);
-  void send(const RequestId& request, AttemptNumber number, const protocol::Wording& wording,
-            const FillTerms& fill, Seconds give_up_at);
+  void send(AttemptNumber number, UpstreamMessage message);
   // Looks after an attempt: at until it must have begun, at give_up_at it must have ended.
   transport::Scheduler::TimerKey watch(const RequestId& request, AttemptNumber number, Seconds until,
                                        Seconds give_up_at);
@@ -86,6 +80,9 @@
   void settle(const LinkPointer& link);
   void pump(const LinkPointer& link);
   bool write_out(const LinkPointer& link);
+  // Makes the bytes of the message whose first byte is the next to go. False: it may not go any more, its
+  // attempt has ended and it is taken out.
+  bool prepare_first(const LinkPointer& link);
   void wrote(Link& link, std::size_t bytes);
   // For flow records: books what was written of an attempt, and so much read, by how it ended.
   void book(Link& link, Open& open, Result result, Note note, std::size_t octets_read);
--- /dev/null
+++ b/src/routing/upstream_message.cpp
@@ -0,0 +1,51 @@
+#include "routing/upstream_message.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace hareramp::routing {
+
+namespace {
+
+constexpr std::size_t kHeldBytes = 2;  // the line's end behind a write's body
+
+// The lesser of two bounds on a copy's age, where 0 bounds nothing.
+Seconds stricter(Seconds one, Seconds other) {
+  if (one <= 0) return other;
+  if (other <= 0) return one;
+  return std::min(one, other);
+}
+
+}  // namespace
+
+UpstreamMessage UpstreamMessage::attempt(const RequestId& request,
+                                         std::shared_ptr<const protocol::Wording> wording,
+                                         const FillTerms& fill, Seconds give_up_at) {
+  UpstreamMessage message;
+  message.request = request;
+  message.wording = std::move(wording);
+  message.fill = fill;
+  message.give_up_at = give_up_at;
+  return message;
+}
+
+UpstreamMessage UpstreamMessage::cancel(const RequestId& request) {
+  UpstreamMessage message;
+  message.bytes = protocol::cancel_line(request);
+  return message;
+}
+
+bool UpstreamMessage::may_begin(Seconds now) const {
+  return !wording || (now < give_up_at && !wording->client_gone);
+}
+
+void UpstreamMessage::encode(Seconds now, const NodeId& node, Seconds oldest_copy, bool hold_back_end) {
+  if (!wording) return;
+  FillTerms terms = fill;
+  terms.oldest_copy = stricter(fill.oldest_copy, oldest_copy);
+  bytes = protocol::serve_line(request, *wording, give_up_at - now, node, terms);
+  held = hold_back_end && !wording->body.empty() ? kHeldBytes : 0;
+  whole_at = 0;
+}
+
+}  // namespace hareramp::routing
--- a/tests/routing/peer_test.cpp
+++ b/tests/routing/peer_test.cpp
@@ -23,10 +23,13 @@
     peer = std::make_shared<Peer>(scheduler, limits, counters, links, NodeId{"c1"}, address, *this);
     peer->start();
   }
-  void attempt(const std::string& request, int number = 0, Seconds wait = 15, std::size_t body = 0) {
+  std::shared_ptr<protocol::Wording> attempt(const std::string& request, int number = 0, Seconds wait = 15,
+                                             std::size_t body = 0, Seconds oldest_copy = 0) {
     auto wording = std::make_shared<protocol::Wording>();
     wording->lane = "segment", wording->name = request, wording->body = std::string(body, 'b');
-    peer->attempt({request}, {number}, wording, {.source = {"P1"}}, Scheduler::now() + wait);
+    peer->attempt({request}, {number}, wording, {.source = {"P1"}, .oldest_copy = oldest_copy},
+                  Scheduler::now() + wait);
+    return wording;
   }
   void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result, Note, Seconds,
              LoadReport, Content content) override {
@@ -52,6 +55,29 @@
   int ends = 0;
 };
 
+void let_pass(Scheduler& scheduler, Seconds time) {
+  const Seconds until = Scheduler::now() + time;
+  CHECK(runs_until(scheduler, [&] { return Scheduler::now() >= until; }));
+}
+
+// What a node was told of an attempt: ttl in seconds, agelim in milliseconds as it was worded.
+struct Told {
+  Seconds time_left = -1;
+  std::string oldest_copy;
+};
+Told told(const std::string& heard, const std::string& request) {
+  const auto start = heard.find("serve " + request + " ");
+  REQUIRE(start != std::string::npos);
+  const std::string line = heard.substr(start, heard.find('\r', start) - start);
+  const auto field = [&](const std::string& name) {
+    const auto place = line.find("," + name + "=");
+    if (place == std::string::npos) return std::string();
+    const auto value = place + name.size() + 2;
+    return line.substr(value, line.find_first_of(", ", value) - value);
+  };
+  return {std::stod(field("ttl")) / 1000, field("agelim")};
+}
+
 // A desk and its node in one scheduler.
 struct Pair {
   explicit Pair(bool reads = true)
@@ -325,3 +351,103 @@
   CHECK(pair.desk.trace ==
         "p1/0 at c1: turned away\np1/1 at c1: absent\np2/0 at c1: turned away\np3/0 at c1: turned away\n");
 }
+
+TEST_CASE("a connection that comes up late: the node is told the time that is left then") {
+  Desk desk(*transport::Address::parse("127.0.0.1:1"));
+  transport::Listener full(desk.scheduler, *transport::Address::parse("127.0.0.1:0"), 0);
+  const auto first = dial(desk.scheduler, full.address());  // takes the only place in the queue
+  desk.limits.connect = desk.limits.begin_within = 15;
+  desk.peer->moved(full.address());
+  desk.attempt("p1");
+  const Seconds give_up_at = Scheduler::now() + 15;
+  let_pass(desk.scheduler, 0.3);
+  const Seconds free_at = Scheduler::now();
+  std::vector<std::shared_ptr<End>> ends;
+  const auto take = [](Scheduler& scheduler, transport::Listener& listener,
+                       std::vector<std::shared_ptr<End>>& taken) -> transport::Task<> {
+    while (taken.size() < 2) {
+      taken.push_back(std::make_shared<End>(scheduler, (co_await listener.accept()).socket));
+      taken.back()->listen();
+    }
+  };
+  desk.scheduler.spawn(take(desk.scheduler, full, ends));
+  CHECK(runs_until(desk.scheduler, [&] { return ends.size() == 2 && ends[1]->heard_all("serve p1"); }));
+  CHECK(told(ends.at(1)->heard, "p1").time_left <= give_up_at - free_at);
+}
+
+TEST_CASE(
+    "an earlier write goes first: what waits behind it tells the time left, and the age, of its start") {
+  Pair pair(false);  // the node does not read yet
+  pair.desk.limits.begin_within = 15;
+  pair.desk.attempt("large", 0, 15, 64 << 20);
+  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(1); }));
+  pair.desk.attempt("any", 0, 15);
+  pair.desk.attempt("fresh", 0, 15, 0, 8);
+  pair.desk.attempt("strict", 0, 15, 0, 0.25);
+  const Seconds give_up_at = Scheduler::now() + 15;
+  const auto left = pair.desk.attempt("left");
+  let_pass(pair.desk.scheduler, 0.2);
+  left->client_gone = true;
+  pair.desk.oldest = 0.5;  // a purge has come
+  const Seconds reads_at = Scheduler::now();
+  pair.node.ends[0]->listen();
+  pair.until_heard("serve strict");
+  const std::string& heard = pair.node.ends[0]->heard;
+  for (const char* request : {"any", "fresh", "strict"})
+    CHECK(told(heard, request).time_left <= give_up_at - reads_at);
+  CHECK(told(heard, "any").oldest_copy == "500");
+  CHECK(told(heard, "fresh").oldest_copy == "500");
+  CHECK(told(heard, "strict").oldest_copy == "250");
+  pair.desk.until(1);
+  CHECK(pair.desk.trace == "left/0 at c1: not sent\n");
+  pair.node.ends[0]->send("strict ACK - 0\r\n\r\n");  // what is behind it has been written by now, if at all
+  pair.desk.until(2);
+  CHECK_FALSE(pair.node.heard_all("serve left"));
+}
+
+TEST_CASE("moved on from a connection that broke: the other is told the time that is left then") {
+  Pair pair(false);  // the node does not read yet
+  pair.desk.limits.begin_within = 15;
+  pair.desk.attempt("large", 0, 15, 64 << 20);
+  pair.desk.attempt("small");
+  const Seconds give_up_at = Scheduler::now() + 15;
+  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(1); }));
+  let_pass(pair.desk.scheduler, 0.2);
+  pair.desk.oldest = 0.5;
+  const Seconds broke_at = Scheduler::now();
+  pair.node.ends[0]->reset();
+  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(2); }));
+  pair.node.ends[1]->listen();
+  pair.until_heard("serve small", 1);
+  for (const char* request : {"large", "small"}) {
+    CHECK(told(pair.node.ends[1]->heard, request).time_left <= give_up_at - broke_at);
+    CHECK(told(pair.node.ends[1]->heard, request).oldest_copy == "500");
+  }
+  CHECK(pair.desk.counters.moved_on == 2);
+  CHECK(pair.desk.ends == 0);
+}
+
+TEST_CASE("with no time left, or no client, an attempt is never written, and others go on") {
+  Pair pair;
+  pair.desk.limits.hold_back = 0.02;
+  pair.desk.attempt("write", 0, 15, 4);
+  pair.until_heard(" 4\r\nbbbb");
+  pair.desk.attempt("late", 0, 0.1);
+  // In one turn the held-back end falls due and the time of the one behind it runs out.
+  pair.desk.scheduler.at(Scheduler::now() + 0.001, [&] {
+    const Seconds until = Scheduler::now() + 0.15;
+    pair.desk.attempt("gone")->client_gone = true;
+    pair.desk.attempt("past", 0, -1);
+    pair.desk.attempt("next");
+    while (Scheduler::now() < until) {
+    }
+  });
+  pair.until_heard("serve next");
+  pair.desk.until(3);
+  CHECK_FALSE(pair.node.heard_all("serve late"));
+  CHECK_FALSE(pair.node.heard_all("serve gone"));
+  CHECK_FALSE(pair.node.heard_all("serve past"));
+  pair.node.ends[0]->send("write ACK - 0\r\n\r\nnext ACK - 0\r\n\r\n");
+  pair.desk.until(5);
+  CHECK(pair.desk.ends == 5);
+}
