--- a/src/routing/front.cpp
+++ b/src/routing/front.cpp
@@ -1,6 +1,10 @@
 #include "routing/front.hpp"
 
+#include <poll.h>
+#include <sys/socket.h>
+
 #include <algorithm>
+#include <array>
 #include <charconv>
 #include <cmath>
 #include <utility>
@@ -17,6 +21,11 @@
 
 namespace {
 
+// Bytes that the kernel is asked to hold of what a client sent and nobody has read yet; it may grant twice as
+// much, and takes the memory only where it is used. A client's end is known as long as all that it sent
+// before fits in here and into what is read ahead: behind more, the end itself waits at the client.
+constexpr int kUnreadRoom = 256 << 10;
+
 template <class Number>
 bool read_number(std::string_view text, Number& value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -36,6 +45,24 @@
   return std::all_of(text.begin(), text.begin() + std::min<std::size_t>(3, text.size()),
                      [](char c) { return (c >= 'A' && c <= 'Z') || c == '\r' || c == '\n'; });
 }
+// The client has closed its sending side or has reset the connection, also while bytes that it sent before
+// are unread.
+bool has_closed(const transport::Socket& socket) {
+  pollfd asked{socket.descriptor(), POLLRDHUP, 0};
+  return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+}
+// Throws away what has come and is unread, up to a bound: a close over unread bytes would reset the
+// connection, and with it an answer that is still on its way.
+void discard_unread(const transport::Socket& socket) {
+  constexpr std::size_t kMost = 1 << 20;
+  std::array<char, 1 << 14> room;
+  std::size_t discarded = 0;
+  while (socket.open() && discarded < kMost) {
+    const ssize_t count = ::recv(socket.descriptor(), room.data(), room.size(), MSG_DONTWAIT);
+    if (count <= 0) return;
+    discarded += static_cast<std::size_t>(count);
+  }
+}
 bool is_id(std::string_view text) {
   return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
 }
@@ -82,8 +109,9 @@
       co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_again);
     }
     ++self.counters_.clients_accepted;
-    self.clients_.push_back(std::make_shared<Client>(self, std::move(accepted.socket)));
-    self.clients_.back()->start();
+    const auto client = std::make_shared<Client>(self, std::move(accepted.socket));
+    self.clients_.push_back(client);
+    client->start();
   }
 }
 
@@ -143,6 +171,14 @@
 }
 
 void Client::start() {
+  setsockopt(socket_.descriptor(), SOL_SOCKET, SO_RCVBUF, &kUnreadRoom, sizeof kUnreadRoom);
+  if (has_closed(socket_)) return leave();  // before anybody could be told of it
+  // Guards against attempts for a client that has gone: where it sent more than is read ahead, its end stands
+  // behind bytes that nobody reads while a request is open. It hurts a client that closes only its sending
+  // side and still waits for an answer.
+  socket_.on_peer_closed([weak = weak_from_this()] {
+    if (const auto client = weak.lock()) client->leave();
+  });
   front_.scheduler_.spawn(live(shared_from_this()));
   front_.scheduler_.spawn(read(shared_from_this()));
 }
@@ -315,6 +351,11 @@
     answer(503, "", "", ipfix::Outcome::kBounced);
     return true;
   }
+  // Read out of what came before the client went: nobody waits for it.
+  if (has_closed(socket_)) {
+    leave();
+    return true;
+  }
   auto wording = std::make_shared<protocol::Wording>();
   wording->lane = grade;
   wording->name = name;
@@ -331,6 +372,7 @@
   const Seconds hard_stop = Scheduler::now() + std::max(0.0, http_request_.wait / 1000 - limits.stop_margin -
                                                                  front_.scheduler_.late());
   request_ = {std::move(http_request_.id)};
+  wording_ = wording;
   owed_ = true;
   front_.module_.request_arrived(request_, {static_cast<int>(place)}, object, part, {http_request_.family},
                                  hard_stop, http_request_.size_kb, http_request_.resent, http_request_.put,
@@ -389,6 +431,7 @@
 
 void Client::answer(int status, std::string more, std::string bytes, ipfix::Outcome outcome, Note note) {
   owed_ = false;
+  wording_.reset();
   label(outcome, note);
   if (!keep_) closing_ = true;
   front_.counters_.bytes_answered += bytes.size();
@@ -437,8 +480,10 @@
 
 void Client::leave() {
   if (std::exchange(ended_, true)) return;
+  if (wording_) wording_->client_gone = true;  // at once, ahead of what is posted to the module
   if (owed_) label(ipfix::Outcome::kLeft, Note::kNone);
   tap_ = nullptr;  // goes with the socket
+  discard_unread(socket_);
   socket_.close();
   if (std::exchange(owed_, false)) front_.module_.request_left(request_);
   resumed_.notify();
--- a/src/routing/front.hpp
+++ b/src/routing/front.hpp
@@ -105,10 +105,11 @@
   transport::Mailbox mailbox_;
   transport::Signal resumed_;
   HttpRequest http_request_;
-  RequestId request_;     // the one that is open
-  Seconds moved_at_ = 0;  // when the connection last did something
-  bool busy_ = false;     // a request is being answered
-  bool owed_ = false;     // by the module
+  RequestId request_;                           // the one that is open
+  std::shared_ptr<protocol::Wording> wording_;  // of the request that the module has; null: it has none
+  Seconds moved_at_ = 0;                        // when the connection last did something
+  bool busy_ = false;                           // a request is being answered
+  bool owed_ = false;                           // by the module
   bool keep_ = true;
   bool closing_ = false;  // no further request is read
   bool shown_ = false;    // a whole request of a kind that is served here has come
--- /dev/null
+++ b/tests/routing/client_connection_test.cpp
@@ -0,0 +1,322 @@
+// A client's connection through its ends: the client closes or resets it, or the director has to close it.
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <array>
+#include <optional>
+
+#include "helpers.hpp"
+#include "program/config.hpp"
+#include "routing/front.hpp"
+#include "routing/module.hpp"
+
+using namespace hareramp;
+using namespace hareramp::routing;
+using transport::Scheduler;
+
+namespace {
+
+const std::string kAbsent = "NOENT why=absent 0\r\n";  // an answer after which another node is asked
+const std::string kId1 = "0000000000000001", kId2 = "0000000000000002", kId3 = "0000000000000003";
+
+std::string get(const std::string& id) {
+  return "GET /invoke/video/7f/block-3 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id +
+         "\r\nX-Deadline-Ms: 15000\r\nX-Family: 17\r\n\r\n";
+}
+std::string put(const std::string& id) {
+  return "PUT /invoke/write/8/block-0 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id +
+         "\r\nX-Deadline-Ms: 15000\r\nContent-Length: 2\r\n\r\nab";
+}
+// Whole requests, each with an id of its own, of so many bytes together at least.
+std::string pipelined(std::size_t bytes) {
+  std::string requests;
+  for (int number = 1000; requests.size() < bytes; ++number)
+    requests += get("000000000000" + std::to_string(number));
+  return requests;
+}
+
+// A client as a plain socket, so that a test decides on each call; the kernel takes what it sends at once.
+class PlainClient {
+ public:
+  explicit PlainClient(transport::Address to) : descriptor_(::socket(to.family(), SOCK_STREAM, 0)) {
+    const int room = 4 << 20;
+    setsockopt(descriptor_, SOL_SOCKET, SO_SNDBUF, &room, sizeof room);
+    REQUIRE(::connect(descriptor_, to.raw(), to.size()) == 0);
+  }
+  ~PlainClient() { close(); }
+  PlainClient(const PlainClient&) = delete;
+  PlainClient& operator=(const PlainClient&) = delete;
+  void send(const std::string& bytes) {
+    REQUIRE(::send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT) ==
+            static_cast<ssize_t>(bytes.size()));
+  }
+  void finish() { ::shutdown(descriptor_, SHUT_WR); }
+  void close() {
+    if (descriptor_ >= 0) ::close(std::exchange(descriptor_, -1));
+  }
+  void reset() {
+    const linger at_once{1, 0};
+    setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    close();
+  }
+  // Takes what has come.
+  const std::string& heard() {
+    std::array<char, 1 << 16> room;
+    for (;;) {
+      const ssize_t count = ::recv(descriptor_, room.data(), room.size(), MSG_DONTWAIT);
+      if (count > 0) heard_.append(room.data(), static_cast<std::size_t>(count));
+      if (count == 0) ended_ = true;
+      if (count < 0 && errno == ECONNRESET) was_reset_ = true;
+      if (count <= 0) return heard_;
+    }
+  }
+  bool ended() { return heard(), ended_; }
+  bool was_reset() { return heard(), was_reset_; }
+
+ private:
+  int descriptor_;
+  std::string heard_;
+  bool ended_ = false, was_reset_ = false;
+};
+
+enum class ClientEnd { kClose, kReset, kFinish };
+const ClientEnd kClientEnds[] = {ClientEnd::kClose, ClientEnd::kReset, ClientEnd::kFinish};
+
+void end_client(PlainClient& client, ClientEnd how) {
+  if (how == ClientEnd::kClose) client.close();
+  if (how == ClientEnd::kReset) client.reset();
+  if (how == ClientEnd::kFinish) client.finish();
+}
+
+// A director between clients and a cache c1, a parent P1 and the origin O, each a stand-in.
+class TestDirector {
+ public:
+  explicit TestDirector(const std::function<void(Limits&)>& change = {}) {
+    const auto nothing = *protocol::Json::parse("{}");
+    limits = program::fill_limits(nothing, nothing);
+    limits.client_idle = 15;
+    limits.link_doubt = 15;
+    limits.link_stall = 15;
+    limits.hold_back = 0;
+    if (change) change(limits);
+    Settings settings = Rig::usual_settings();
+    settings["FamilyInfo.Direct"] = "true";
+    const Names names{
+        {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
+    module.emplace(scheduler, limits, counters, log, names, settings, 7);
+    module->start();
+    list_nodes(cache.address);
+    front.emplace(scheduler, limits, counters, *transport::Address::parse("127.0.0.1:0"), names, *module);
+    front->start();
+    scheduler.on_late = [this](Seconds until) { module->woke_late(until); };
+    scheduler.on_failure = [this](std::exception_ptr) { ++failures; };
+  }
+  ~TestDirector() { std::fclose(sink); }
+  void list_nodes(transport::Address cache_address) {
+    const auto entry = [](const std::string& id, transport::Address at, const std::string& zone,
+                          const std::string& kind) {
+      return R"({"id":")" + id + R"(","addr":")" + at.text() + R"(","zone":")" + zone + R"(","kind":")" +
+             kind + R"(","cell":1,"state":"active","weight":6,"started_ms":0})";
+    };
+    module->known_change_arrived(*protocol::Json::parse(R"({"seq":5,"fleet":{"full":true,"servers":[)" +
+                                                        entry("c1", cache_address, "z2", "cache") + "," +
+                                                        entry("P1", parent.address, "z0", "parent") + "," +
+                                                        entry("O", origin.address, "z1", "origin") + "]}}"));
+  }
+  void until(const std::function<bool()>& holds) { CHECK(runs_until(scheduler, holds)); }
+  // How many attempts the nodes have heard for requests whose id begins so.
+  std::size_t attempts_heard(const std::string& id = "") const {
+    std::size_t count = 0;
+    const std::string mark = "serve " + id;
+    for (const StandIn* node : {&cache, &parent, &origin})
+      for (const auto& end : node->ends)
+        for (auto at = end->heard.find(mark); at != std::string::npos; at = end->heard.find(mark, at + 1))
+          ++count;
+    return count;
+  }
+  void until_attempts(const std::string& id, std::size_t count) {
+    CHECK_MESSAGE(runs_until(scheduler, [&] { return attempts_heard(id) >= count; }), id);
+  }
+  // Ends the connection of the only client so far; its attempts until now are those that may be heard of.
+  void end(PlainClient& client, ClientEnd how) {
+    attempts_at_end = counters.attempts;
+    end_client(client, how);
+  }
+  // The client is known to have gone, and what was posted then has been done; or a further attempt began.
+  void until_gone() {
+    until(
+        [&] { return (front->clients() == 0 && counters.left == 1) || counters.attempts > attempts_at_end; });
+  }
+  // The only request has been called off, and nothing more began.
+  void check_called_off() const {
+    CHECK(counters.attempts == attempts_at_end);
+    CHECK(counters.taken == 1);
+    CHECK(counters.left == 1);
+    CHECK(counters.open == 0);
+  }
+  // Each node that holds an attempt at the request answers it so.
+  void nodes_answer(const std::string& id, const std::string& answer) {
+    for (StandIn* node : {&cache, &parent, &origin})
+      for (const auto& end : node->ends)
+        if (end->heard_all("serve " + id)) end->try_send(id + " " + answer + "\r\n");
+  }
+
+  Scheduler scheduler;
+  Limits limits;
+  Counters counters;
+  std::uint64_t attempts_at_end = 0;
+  int failures = 0;
+  std::FILE* sink = std::tmpfile();
+  Log log{fileno(sink)};
+  StandIn cache{scheduler}, parent{scheduler}, origin{scheduler};
+  std::optional<ModuleActor> module;
+  std::optional<Front> front;
+};
+
+// What a client pipelines behind the request in work, so that its end can't be read while that is open.
+const std::size_t kPipelinedKb[] = {0, 40, 120, 200};
+
+}  // namespace
+
+TEST_CASE("a client that has gone: no attempt begins after its close, whatever it sent before") {
+  for (const std::size_t kilobytes : kPipelinedKb) {
+    for (const ClientEnd how : kClientEnds) {
+      CAPTURE(kilobytes);
+      CAPTURE(static_cast<int>(how));
+      TestDirector director;
+      PlainClient client(director.front->address());
+      client.send(get(kId1));
+      director.until_attempts(kId1, 1);
+      client.send(pipelined(kilobytes << 10));
+      director.end(client, how);
+      // The failure reaches the director after the close, and would be followed by a retry.
+      director.nodes_answer(kId1, kAbsent);
+      director.until_gone();
+      director.check_called_off();
+    }
+  }
+}
+
+TEST_CASE("a client that has gone while its attempt waits for a connection") {
+  for (const ClientEnd how : kClientEnds) {
+    CAPTURE(static_cast<int>(how));
+    TestDirector director;
+    // The only place in the queue is taken, so that no further connection comes up.
+    transport::Listener full(director.scheduler, *transport::Address::parse("127.0.0.1:0"), 0);
+    const auto first = dial(director.scheduler, full.address());
+    director.list_nodes(full.address());
+    PlainClient client(director.front->address()), other(director.front->address());
+    client.send(get(kId1));
+    director.until([&] { return director.counters.attempts == 1; });
+    client.send(pipelined(40 << 10));
+    director.end(client, how);
+    other.send(get(kId2));
+    director.until_attempts(kId2, 1);  // on another node, once the connection has failed
+    CHECK(director.attempts_heard(kId1) == director.attempts_at_end - 1);
+    CHECK(director.counters.left == 1);
+  }
+}
+
+TEST_CASE("a client that has gone before its attempt counts as late: no second one begins") {
+  for (const ClientEnd how : kClientEnds) {
+    CAPTURE(static_cast<int>(how));
+    TestDirector director;
+    PlainClient client(director.front->address()), other(director.front->address());
+    client.send(get(kId1));
+    director.until_attempts(kId1, 1);
+    client.send(pipelined(40 << 10));
+    director.end(client, how);
+    other.send(get(kId2));
+    director.until_attempts(kId2, 2);  // of the same class, and begun later
+    CHECK(director.attempts_heard(kId1) == director.attempts_at_end);
+    CHECK(director.counters.left == 1);
+  }
+}
+
+TEST_CASE("a client that has gone in the pause between two attempts") {
+  for (const ClientEnd how : kClientEnds) {
+    CAPTURE(static_cast<int>(how));
+    TestDirector director;
+    PlainClient client(director.front->address()), other(director.front->address());
+    client.send(put(kId1));
+    other.send(put(kId2));
+    director.until_attempts(kId1, 1);
+    director.until_attempts(kId2, 1);
+    director.nodes_answer(kId1, "AGAIN - 0\r\n");
+    director.until([&] { return director.counters.ended_turned_away == 1; });
+    client.send(pipelined(40 << 10));
+    director.end(client, how);
+    director.until(
+        [&] { return director.counters.left == 1 || director.counters.attempts > director.attempts_at_end; });
+    director.nodes_answer(kId2, "AGAIN - 0\r\n");
+    director.until_attempts(kId2, 2);
+    CHECK(director.attempts_heard(kId1) == director.attempts_at_end - 1);
+  }
+}
+
+TEST_CASE("a client that went while the process stood still: what came meanwhile begins no attempt") {
+  for (const ClientEnd how : kClientEnds) {
+    CAPTURE(static_cast<int>(how));
+    TestDirector director;
+    PlainClient client(director.front->address());
+    client.send(get(kId1));
+    director.until_attempts(kId1, 1);
+    client.send(pipelined(40 << 10));
+    bool has_ended = false;
+    director.scheduler.at(Scheduler::now(), [&] {
+      has_ended = true;
+      director.nodes_answer(kId1, kAbsent);
+      director.end(client, how);
+      usleep(400000);  // as if the process were stopped, for longer than a turn counts as late
+    });
+    director.until([&] { return has_ended; });
+    director.until_gone();
+    CHECK(director.counters.late_turns > 0);
+    director.check_called_off();
+  }
+}
+
+TEST_CASE("a request read after its client has closed is not started") {
+  for (const ClientEnd how : kClientEnds) {
+    CAPTURE(static_cast<int>(how));
+    TestDirector director([](Limits& limits) { limits.clients = 1; });
+    PlainClient first(director.front->address()), second(director.front->address());
+    first.send(get(kId1));
+    director.until_attempts(kId1, 1);
+    second.send(get(kId2));  // waits for room, already accepted
+    director.until([&] { return director.counters.accept_paused > 0; });
+    end_client(second, how);
+    director.nodes_answer(kId1, "ACK - 0\r\n");
+    director.until([&] { return director.counters.completed == 1; });
+    first.close();
+    director.until([&] { return director.counters.clients_closed == 2; });
+    CHECK(director.attempts_heard(kId2) == 0);
+    CHECK(director.counters.taken == 1);
+  }
+}
+
+TEST_CASE("a client that goes while its attempt's failure waits for the module: the retry is not sent") {
+  for (const ClientEnd how : kClientEnds) {
+    CAPTURE(static_cast<int>(how));
+    TestDirector director;
+    PlainClient client(director.front->address()), other(director.front->address());
+    // The same way for another request before: the connection for the retry is up, and idle.
+    other.send(get(kId2));
+    director.until_attempts(kId2, 1);
+    director.nodes_answer(kId2, kAbsent);
+    director.until_attempts(kId2, 2);
+    director.nodes_answer(kId2, "ACK - 0\r\n");
+    director.until([&] { return director.counters.completed == 1; });
+    client.send(get(kId1));
+    director.until_attempts(kId1, 1);
+    director.module->woke_late(Scheduler::now() + 0.3);  // holds what comes from now on
+    director.nodes_answer(kId1, "NOENT why=absent 3\r\nabc");
+    director.until([&] { return director.counters.bytes_filled > 0; });
+    const std::size_t heard_before = director.attempts_heard(kId1);
+    director.end(client, how);
+    director.until([&] { return director.counters.left == 1; });
+    other.send(get(kId3));
+    director.until_attempts(kId3, 1);
+    CHECK(director.attempts_heard(kId1) == heard_before);
+  }
+}
