--- a/src/distribution/relay.cpp
+++ b/src/distribution/relay.cpp
@@ -62,7 +62,7 @@
     if (source_number <= 0) continue;  // not of the stream: nobody could go on behind it
     const Change read = read_change(change);
     last_ = number_of(source_number);
-    snapshot_.add(now, arrived.unix_now, last_, read);
+    snapshot_.add(now, last_, read);
     window_.add(last_, encode_event(last_, read.members));
     ++counts_.changes;
   }
--- a/src/distribution/relay.hpp
+++ b/src/distribution/relay.hpp
@@ -24,7 +24,6 @@
 // --- what happens ---
 struct ChangesArrived {  // from the source, in order
   std::vector<NumberedChange> changes;
-  double unix_now = 0;      // this machine's clock, s
   bool more_waits = false;  // the source had more to read just then
 };
 struct SubscriberArrived {
--- a/src/distribution/relay_actor.cpp
+++ b/src/distribution/relay_actor.cpp
@@ -8,7 +8,6 @@
 
 #include "protocol/http.hpp"
 #include "transport/buffer.hpp"
-#include "transport/clock.hpp"
 
 namespace hareramp::distribution {
 
@@ -181,7 +180,7 @@
                                  std::function<void(bool taken)> done) {
   mailbox_.post([this, changes = std::move(changes), more_waits, done = std::move(done)]() mutable {
     try {
-      step(ChangesArrived{std::move(changes), transport::Clock::unix_now(), more_waits});
+      step(ChangesArrived{std::move(changes), more_waits});
     } catch (...) {
       done(false);
       throw;
--- a/src/distribution/snapshot.cpp
+++ b/src/distribution/snapshot.cpp
@@ -10,14 +10,10 @@
 
 using transport::Seconds;
 
-namespace {
-constexpr Seconds kClockTolerance = 5;  // s that the issuer's clock and ours may differ by
-}
-
 Snapshot::Snapshot(Seconds purge_lifetime, std::size_t purges_most)
     : purge_lifetime_(purge_lifetime), purges_most_(purges_most) {}
 
-void Snapshot::add(Seconds now, double unix_now, long long number, const Change& change) {
+void Snapshot::add(Seconds now, long long number, const Change& change) {
   if (change.nodes) {
     const NodeList& list = *change.nodes;
     if (list.whole) {
@@ -34,13 +30,7 @@
     list_version_ = list.version;
   }
   if (!change.purge) return;
-  if (unix_now - change.purge->unix_ms / 1000 > purge_lifetime_ + kClockTolerance) return;
-  LivePurge& kept = purges_[change.purge->subject];
-  kept.number = number;
-  if (change.purge->unix_ms >= kept.unix_ms) {  // else the one told before bounds more
-    kept.unix_ms = change.purge->unix_ms;
-    kept.members = change.members;
-  }
+  purges_[change.purge->subject] = {number, change.members};
   expiries_.push_back({now + purge_lifetime_, change.purge->subject, number});
 }
 
--- a/src/distribution/snapshot.hpp
+++ b/src/distribution/snapshot.hpp
@@ -15,16 +15,16 @@
 
 class Snapshot {
  public:
-  // A purge is kept for its lifetime from when it came, unless its own time says that this is over already by
-  // more than two clocks may differ.
+  // A purge is kept for its lifetime from when it came. The issuer's stamp in it is not read: that clock, or
+  // ours, may have been stepped.
   Snapshot(transport::Seconds purge_lifetime, std::size_t purges_most);
 
-  // unix_now: this machine's clock, by which the issuer's time of a purge is judged.
-  void add(transport::Seconds now, double unix_now, long long number, const Change& change);
+  // Of two purges of one subject the later event counts, whatever their stamps say.
+  void add(transport::Seconds now, long long number, const Change& change);
   void expire(transport::Seconds now);
   bool has_list() const { return has_list_; }
-  // No room for another purge until one expires.
-  bool full() const { return purges_.size() >= purges_most_; }
+  // No room for another purge until one expires. Repeats of one subject count each: all wait for their time.
+  bool full() const { return expiries_.size() >= purges_most_; }
   std::size_t purges() const { return purges_.size(); }
 
   // The events behind the cursor that still matter, under the numbers that they came with and in their order;
@@ -39,7 +39,6 @@
  private:
   struct LivePurge {
     long long number = 0;
-    double unix_ms = 0;
     std::string members;
   };
   struct Expiry {
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -23,6 +23,8 @@
 #include <utility>
 #include <vector>
 
+#include "policy/invalidations.hpp"
+
 namespace hareramp {
 namespace {
 
@@ -234,7 +236,7 @@
     max_attempts = number("Permissions.MaxAttempts", 1);
     most_advice = std::min(kComeBack, number("Permissions.MaxRetryAfterS", 0));
     period = number("PeriodS", 0.001);
-    purge_done = number("FamilyInfo.PurgeDoneS", 10) + 1;
+    invalidations = policy::Invalidations(number("FamilyInfo.PurgeDoneS", 10) + 1);
     parent_warms = number("FamilyInfo.ParentWarmsInS", 20), cache_warms = number("Contract.ColdS", 20);
     parent_from = number("FamilyInfo.ParentColdFrom", 0.05),
     cache_from = number("Contract.StartCapacity", 0.1);
@@ -464,15 +466,10 @@
     const Grade& grade = grade_of(p);
     Seconds bound = grade.fresh > 0 && p.stale_will_do ? grade.fresh + grade.grace : grade.fresh;
     // Rule 5: both kinds of purge count until every node must have dropped its older copies.
-    const auto bound_by = [&](const auto& purges, const auto& key) {
-      const auto found = purges.find(key);
-      if (found == purges.end()) return;
-      const Seconds since = std::max(now - found->second, kLeastAge);
-      bound = bound > 0 ? std::min(bound, since) : since;
-    };
-    bound_by(object_purges, p.object);
-    bound_by(group_purges, p.group);
-    return bound;
+    const auto purged_at = invalidations.latest_purge({p.object}, {p.group});
+    if (!purged_at) return bound;
+    const Seconds since = std::max(now - *purged_at, kLeastAge);
+    return bound > 0 ? std::min(bound, since) : since;
   }
 
   // --- choices: pure, so that a rule may ask before it acts ---
@@ -940,16 +937,9 @@
       actions.wake(now + time, {"late:" + std::to_string(place) + ":" + p.id.value});
   }
 
-  // One so old that every node has dropped its copies since bounds nothing: after a long cut most are.
-  void purged(auto& purges, auto key, Seconds age) {
-    if (age > purge_done) return;
-    Seconds& at = purges.try_emplace(key, now - age).first->second;
-    at = std::max(at, now - age);
-  }
   void sweep() {
     std::erase_if(units, [&](const auto& entry) { return now - entry.second.at > kRemember; });
-    const auto over = [&](const auto& entry) { return now - entry.second > purge_done; };
-    std::erase_if(object_purges, over), std::erase_if(group_purges, over);
+    invalidations.expire(now);
     // Guards against ids that keep coming: a gone node is forgotten once nothing of it is out and its budget
     // is past. It hurts nobody: should the id come back, it counts as just started.
     for (int n = 0; n < count(); ++n)
@@ -971,7 +961,7 @@
   bool peers_fill = false, tells_all = false, weights_drift = false, weights_unknown = false;
   double max_attempts = 1, parent_from = 0, cache_from = 0, parent_limit = 2, cache_limit = 2;
   double cache_sharers = 1, sharers_of_all = 1;
-  Seconds most_advice = 0, period = 0, purge_done = 0, parent_warms = 0, cache_warms = 0, fall_span = 0;
+  Seconds most_advice = 0, period = 0, parent_warms = 0, cache_warms = 0, fall_span = 0;
   std::uint64_t list_turn = 1;
   std::vector<int> all_parents, own_caches;
   double flow = 0, link_part = 1, origin_part = 1, spare_fills = kSaved, origin_good = 0;
@@ -995,8 +985,7 @@
 
   std::map<RequestId, Request> requests;
   std::unordered_map<std::uint64_t, Unit> units;
-  std::map<std::uint64_t, Seconds> object_purges;
-  std::map<std::int64_t, Seconds> group_purges;
+  policy::Invalidations invalidations{0};  // its lifetime is read with the settings
 };
 
 // From the top, until none fires. Each is a condition and an effect, both above.
@@ -1125,10 +1114,10 @@
 
 // The moment of a purge is kept, not its age: bounds are taken from it when a request is sent.
 void Director::object_purged(Seconds now, ObjectId object, Seconds age) {
-  mind_->at(now).purged(mind_->object_purges, object.value, age);
+  mind_->at(now).invalidations.object_purged(now, object, age);
 }
 void Director::group_purged(Seconds now, GroupId group, Seconds age) {
-  mind_->at(now).purged(mind_->group_purges, group.value, age);
+  mind_->at(now).invalidations.group_purged(now, group, age);
 }
 
 void Director::woken(Seconds now, const TimerToken& token) {
--- a/src/routing/module.cpp
+++ b/src/routing/module.cpp
@@ -12,6 +12,10 @@
 namespace {
 // Between looks whether a backlog of changes, which goes first after the process stood still, is over.
 constexpr Seconds kHoldLook = 0.005;
+// s: a purge counts as just issued. Its stamp is of the issuer's clock, and either clock may have been
+// stepped: an age taken from the two could say that a purge is long over while copies from before it are
+// still held.
+constexpr Seconds kPurgeAge = 0;
 }  // namespace
 
 // A change of the list, read straight into calls of the director; peers come and go with it.
@@ -49,13 +53,13 @@
     }
     module_.director_->list_ends(now());
   }
-  void object_purged(ObjectId object, double unix_ms) override {
+  void object_purged(ObjectId object, double) override {
     ++module_.counters_.purges;
-    module_.director_->object_purged(now(), object, age_of(unix_ms));
+    module_.director_->object_purged(now(), object, kPurgeAge);
   }
-  void group_purged(GroupId group, double unix_ms) override {
+  void group_purged(GroupId group, double) override {
     ++module_.counters_.purges;
-    module_.director_->group_purged(now(), group, age_of(unix_ms));
+    module_.director_->group_purged(now(), group, kPurgeAge);
   }
   void skipped(const std::string& what) override {
     ++module_.counters_.events_skipped;
@@ -66,10 +70,6 @@
 
  private:
   Seconds now() const { return module_.clock_.now(); }
-  // A clock that was set back must not make a purge lie in the future.
-  static Seconds age_of(double unix_ms) {
-    return std::max(0.0, transport::Clock::unix_now() - unix_ms / 1000);
-  }
   static int index(const std::vector<std::string>& names, const std::string& name) {
     const auto found = std::find(names.begin(), names.end(), name);
     return found == names.end() ? -1 : static_cast<int>(found - names.begin());
--- /dev/null
+++ b/tests/wall_clock/wall_clock_test.cpp
@@ -0,0 +1,110 @@
+// A director on loopback whose machine's wall clock is stepped while it runs.
+#include "wall_clock/wall_clock.hpp"
+
+#include "helpers.hpp"
+#include "program/config.hpp"
+#include "routing/front.hpp"
+#include "routing/module.hpp"
+#include "transport/clock.hpp"
+
+using namespace hareramp;
+using namespace hareramp::routing;
+using transport::Clock;
+using transport::Scheduler;
+
+namespace {
+
+constexpr Seconds kHour = 3600;
+
+// A director with one cache c1 and the origin O, each a stand-in, and the wall clock back in its place at the
+// end.
+class Site {
+ public:
+  Site() {
+    const auto nothing = *protocol::Json::parse("{}");
+    limits = program::fill_limits(nothing, nothing);
+    Settings settings = Rig::usual_settings();
+    settings["FamilyInfo.Direct"] = "true";
+    const Names names{
+        {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
+    module.emplace(scheduler, limits, counters, log, names, settings, 7);
+    module->start();
+    module->known_change_arrived(
+        *protocol::Json::parse(fleet(true, {entry("c1", cache, "z2", "cache", Clock::unix_now() - kHour),
+                                            entry("O", origin, "z1", "origin", Clock::unix_now() - kHour)})));
+    front.emplace(scheduler, limits, counters, *transport::Address::parse("127.0.0.1:0"), names, *module);
+    front->start();
+  }
+  ~Site() {
+    step_wall_clock(0);
+    std::fclose(sink);
+  }
+  static std::string entry(const std::string& id, const StandIn& node, const std::string& zone,
+                           const std::string& kind, Seconds started) {
+    return R"({"id":")" + id + R"(","addr":")" + node.address.text() + R"(","zone":")" + zone +
+           R"(","kind":")" + kind + R"(","cell":1,"state":"active","weight":6,"started_ms":)" +
+           std::to_string(static_cast<long long>(started * 1000)) + "}";
+  }
+  static std::string fleet(bool whole, const std::vector<std::string>& entries) {
+    std::string list;
+    for (const auto& one : entries) list += (list.empty() ? "" : ",") + one;
+    return std::string(R"({"seq":5,"fleet":{"full":)") + (whole ? "true" : "false") + ",\"servers\":[" +
+           list + "]}}";
+  }
+  static std::string purge(const std::string& object, Seconds issued) {
+    return R"({"seq":6,"invalidate":{"object":")" + object + R"(","time":)" +
+           std::to_string(static_cast<long long>(issued * 1000)) + "}}";
+  }
+  void tell(const std::string& change) {
+    bool taken = false;
+    module->changes_arrived({{0, *protocol::Json::parse(change)}}, false, [&](bool) { taken = true; });
+    REQUIRE(runs_until(scheduler, [&] { return taken; }));
+  }
+  static std::string id_of(int number) {
+    const std::string digits = std::to_string(number);
+    return std::string(16 - digits.size(), '0') + digits;
+  }
+  static std::string get(int number) {
+    return "GET /invoke/video/" + std::to_string(number) +
+           "/block-0 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id_of(number) +
+           "\r\nX-Deadline-Ms: 15000\r\nX-Family: 17\r\nX-Need-Kb: 412.5\r\n\r\n";
+  }
+  void hears(StandIn& node, const std::string& words) {
+    CHECK_MESSAGE(runs_until(scheduler, [&] { return node.heard_all(words); }),
+                  words << " in " << node.heard());
+  }
+
+  Scheduler scheduler;
+  Limits limits;
+  Counters counters;
+  std::FILE* sink = std::tmpfile();
+  Log log{fileno(sink)};
+  StandIn cache{scheduler}, origin{scheduler};
+  std::optional<ModuleActor> module;
+  std::optional<Front> front;
+};
+
+// The line of an attempt as a node heard it.
+std::string line_of(const StandIn& node, int number) {
+  const std::string heard = node.heard();
+  const auto at = heard.find("serve " + Site::id_of(number));
+  return at == std::string::npos ? "" : heard.substr(at, heard.find('\n', at) - at);
+}
+
+}  // namespace
+
+TEST_CASE("a purge is kept whatever the director's clock and the issuer's clock say of its age") {
+  for (const Seconds step : {-kHour, -5.0, 0.0, 5.0, kHour}) {
+    for (const Seconds issuer_step : {-kHour, 0.0, kHour}) {
+      Site site;
+      const Seconds issuer_now = Clock::unix_now() + issuer_step;
+      step_wall_clock(step);
+      site.tell(Site::purge("1", issuer_now));
+      const auto client = dial(site.scheduler, site.front->address());
+      client->send(Site::get(1));
+      site.hears(site.cache, "serve " + Site::id_of(1));
+      CHECK_MESSAGE(line_of(site.cache, 1).find("agelim=") != std::string::npos,
+                    "step " << step << ", issuer's step " << issuer_step);
+    }
+  }
+}
