--- a/src/storage/spool.cpp
+++ b/src/storage/spool.cpp
@@ -102,18 +102,6 @@
   MDB_cursor* raw_ = nullptr;
 };
 
-// Runs what may fail; false with words in error if it did.
-template <class Work>
-bool guarded(std::string& error, const Work& work) {
-  try {
-    work();
-    return true;
-  } catch (const Failed& failed) {
-    error = mdb_strerror(failed.code);
-    return false;
-  }
-}
-
 }  // namespace
 
 struct Spool::Environment {
@@ -121,12 +109,104 @@
   MDB_dbi messages = 0, cursors = 0;
   std::size_t map = 0;
   int owner = -1;
+  std::string path;
+
+  std::uint64_t end = 0;       // one past the last number that append() has acknowledged
+  bool commit_failed = false;  // LMDB's environment may be unusable since
+  bool reopened = false;       // and what the failed commits left is still to be looked for
+  Dropped drops_in_doubt;      // of failed commits
+  Dropped drops_found;         // of these, gone from the disk all the same: for the next caller
 
   ~Environment() {
-    if (raw) mdb_env_close(raw);
+    close_database();
     if (owner >= 0) ::close(owner);
   }
-  void open(const std::string& path) {
+  void close_database() {
+    if (raw) mdb_env_close(std::exchange(raw, nullptr));
+  }
+  // Runs an operation on a usable environment; false with words in error if it failed.
+  template <class Work>
+  bool guarded(std::string& error, const Work& work) {
+    try {
+      recover();
+      work();
+      return true;
+    } catch (const Failed& failed) {
+      error = mdb_strerror(failed.code);
+      return false;
+    }
+  }
+  void commit(Transaction& transaction, const Dropped& gone) {
+    try {
+      transaction.commit();
+    } catch (const Failed&) {
+      commit_failed = true;
+      drops_in_doubt.insert(drops_in_doubt.end(), gone.begin(), gone.end());
+      throw;
+    }
+  }
+  bool panicked() const {
+    MDB_txn* transaction = nullptr;
+    const int code = mdb_txn_begin(raw, nullptr, MDB_RDONLY, &transaction);
+    if (code == 0) mdb_txn_abort(transaction);
+    return code == MDB_PANIC;
+  }
+  // Guards against a disk that fails at a commit's last write: LMDB then refuses all further work, and can't
+  // say whether the commit is on the disk. The environment is opened anew and the failed commits are undone,
+  // as append() promises. Until that has succeeded every operation fails.
+  void recover() {
+    if (!commit_failed) return;
+    if (!reopened && raw && !panicked()) {  // the commit failed before its last write: nothing of it is there
+      drops_in_doubt.clear();
+      commit_failed = false;
+      return;
+    }
+    if (!raw || panicked()) {
+      close_database();
+      reopened = true;
+      open_or_close();
+    }
+    undo_failed_commits();
+    reopened = false;
+    commit_failed = false;
+  }
+  void undo_failed_commits() {
+    Dropped found;
+    Transaction transaction(raw, 0);
+    {
+      Cursor cursor(transaction, messages);
+      MDB_val key{};
+      MDB_val value{};
+      const std::string first_unacknowledged = key_of(end);
+      for (;;) {
+        key = view(first_unacknowledged);
+        if (!cursor.get(key, value, MDB_SET_RANGE)) break;
+        cursor.remove();
+      }
+      for (const SpoolEntry& entry : drops_in_doubt) {
+        const std::string number = key_of(entry.number);
+        key = view(number);
+        if (entry.number < end && !cursor.get(key, value, MDB_SET)) found.push_back(entry);
+      }
+    }
+    transaction.commit();
+    drops_found.insert(drops_found.end(), found.begin(), found.end());
+    drops_in_doubt.clear();
+  }
+  void hand_over(const Dropped& gone, Dropped& dropped) {
+    dropped.insert(dropped.end(), drops_found.begin(), drops_found.end());
+    dropped.insert(dropped.end(), gone.begin(), gone.end());
+    drops_found.clear();
+  }
+  void open_or_close() {
+    try {
+      open();
+    } catch (const Failed&) {
+      close_database();  // one that is half open can't be asked anything
+      throw;
+    }
+  }
+  void open() {
     must(mdb_env_create(&raw));
     must(mdb_env_set_mapsize(raw, map));
     must(mdb_env_set_maxdbs(raw, 2));
@@ -135,12 +215,20 @@
     must(mdb_dbi_open(transaction, "messages", MDB_CREATE, &messages));
     must(mdb_dbi_open(transaction, "cursors", MDB_CREATE, &cursors));
     transaction.commit();
-    check_length(path);
+    check_length();
+  }
+  void find_end() {
+    const Transaction transaction(raw, MDB_RDONLY);
+    Cursor cursor(transaction, messages);
+    MDB_val key{};
+    MDB_val value{};
+    SpoolEntry entry;
+    if (cursor.get(key, value, MDB_LAST) && read_entry(key, value, entry, false)) end = entry.number + 1;
   }
   // Guards against a file that lost its end, where a look behind the end would be a bus error: the end is
   // made up with zeros, which no page is, and every page in use is looked at once. Costs a pass over such a
   // file.
-  void check_length(const std::string& path) const {
+  void check_length() const {
     MDB_envinfo info{};
     MDB_stat stat{};
     must(mdb_env_info(raw, &info));
@@ -200,7 +288,9 @@
     environment->map = std::max(bytes, kLeastMap);
     int code = 0;
     try {
-      environment->open(path);
+      environment->path = path;
+      environment->open();
+      environment->find_end();
       return std::unique_ptr<Spool>(new Spool(std::move(environment)));
     } catch (const Failed& failure) {
       code = failure.code;
@@ -221,7 +311,7 @@
 
 bool Spool::append(const std::vector<SpoolEntry>& entries, Dropped& dropped, std::string& error) {
   Dropped gone;
-  const bool done = guarded(error, [&] {
+  const bool done = environment_->guarded(error, [&] {
     Transaction transaction(environment_->raw, 0);
     for (const SpoolEntry& entry : entries) {
       const std::string key = key_of(entry.number), value = value_of(entry);
@@ -232,15 +322,16 @@
       Cursor cursor(transaction, environment_->messages);
       while (environment_->full(transaction) > kTrimTo) environment_->drop_first(cursor, gone);
     }
-    transaction.commit();
+    environment_->commit(transaction, gone);
+    if (!entries.empty()) environment_->end = entries.back().number + 1;
   });
-  if (done) dropped.insert(dropped.end(), gone.begin(), gone.end());
+  if (done) environment_->hand_over(gone, dropped);
   return done;
 }
 
 std::vector<SpoolEntry> Spool::read(std::uint64_t from, std::size_t bytes, std::string& error) {
   std::vector<SpoolEntry> entries;
-  guarded(error, [&] {
+  environment_->guarded(error, [&] {
     const Transaction transaction(environment_->raw, MDB_RDONLY);
     Cursor cursor(transaction, environment_->messages);
     const std::string start = key_of(from);
@@ -259,7 +350,7 @@
 
 bool Spool::trim(std::uint64_t before, double written_before, Dropped& dropped, std::string& error) {
   Dropped gone;
-  const bool done = guarded(error, [&] {
+  const bool done = environment_->guarded(error, [&] {
     Transaction transaction(environment_->raw, 0);
     {
       Cursor cursor(transaction, environment_->messages);
@@ -273,25 +364,25 @@
         cursor.remove();
       }
     }
-    transaction.commit();
+    environment_->commit(transaction, gone);
   });
-  if (done) dropped.insert(dropped.end(), gone.begin(), gone.end());
+  if (done) environment_->hand_over(gone, dropped);
   return done;
 }
 
 bool Spool::put_cursor(const std::string& reader, std::uint64_t next, std::string& error) {
-  return guarded(error, [&] {
+  return environment_->guarded(error, [&] {
     Transaction transaction(environment_->raw, 0);
     const std::string value = key_of(next);
     MDB_val raw_key = view(reader), raw_value = view(value);
     must(mdb_put(transaction, environment_->cursors, &raw_key, &raw_value, 0));
-    transaction.commit();
+    environment_->commit(transaction, {});
   });
 }
 
 std::map<std::string, std::uint64_t> Spool::cursors(std::string& error) {
   std::map<std::string, std::uint64_t> all;
-  guarded(error, [&] {
+  environment_->guarded(error, [&] {
     const Transaction transaction(environment_->raw, MDB_RDONLY);
     Cursor cursor(transaction, environment_->cursors);
     MDB_val key{}, value{};
@@ -305,7 +396,7 @@
 
 std::optional<SpoolEntry> Spool::last(std::string& error) {
   std::optional<SpoolEntry> found;
-  guarded(error, [&] {
+  environment_->guarded(error, [&] {
     const Transaction transaction(environment_->raw, MDB_RDONLY);
     Cursor cursor(transaction, environment_->messages);
     MDB_val key{}, value{};
@@ -317,7 +408,7 @@
 
 std::optional<std::uint64_t> Spool::first(std::string& error) {
   std::optional<std::uint64_t> found;
-  guarded(error, [&] {
+  environment_->guarded(error, [&] {
     const Transaction transaction(environment_->raw, MDB_RDONLY);
     Cursor cursor(transaction, environment_->messages);
     MDB_val key{}, value{};
@@ -328,6 +419,7 @@
 }
 
 double Spool::full() const {
+  if (!environment_->raw) return 1;
   try {
     const Transaction transaction(environment_->raw, MDB_RDONLY);
     return environment_->full(transaction);
--- a/src/storage/spool.hpp
+++ b/src/storage/spool.hpp
@@ -38,7 +38,8 @@
                                      std::string& damaged);
 
   // All or none of them, on the disk when it returns. Numbers must go up. dropped gets the oldest, which go
-  // to keep the bound. False with words in error: nothing has changed.
+  // to keep the bound. False with words in error: nothing has changed, and the same may be appended again. (A
+  // kill before the next call may leave them on the disk after all.)
   bool append(const std::vector<SpoolEntry>& entries, Dropped& dropped, std::string& error);
   // From number on, until so many bytes are there; at least one if there is one.
   std::vector<SpoolEntry> read(std::uint64_t from, std::size_t bytes, std::string& error);
