--- /dev/null
+++ b/tests/faults/faulty_program.hpp
@@ -0,0 +1,65 @@
+// The real program with faults preloaded, between stand-in nodes and clients on loopback.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "faults/fault_control.hpp"
+#include "rig/process.hpp"
+#include "rig/world.hpp"
+#include "transport/scheduler.hpp"
+#include "transport/socket.hpp"
+
+namespace hareramp::faults {
+
+// What became of a number of requests. Every one of them counts once.
+struct Answers {
+  int completed = 0;  // 200, with the whole body
+  int rejected = 0;   // 503
+  int failed = 0;     // 500
+  int lost = 0;       // the connection ended, or its time was over, without a whole answer
+  int malformed = 0;  // a second answer, or something else behind the first
+  bool operator==(const Answers&) const = default;
+  int all() const { return completed + rejected + failed + lost + malformed; }
+  Answers& operator+=(const Answers& more);
+};
+
+class FaultyProgram {
+ public:
+  // The scheduler is that of the test; it runs the stand-ins as well.
+  explicit FaultyProgram(transport::Scheduler& scheduler);
+  ~FaultyProgram();
+  FaultyProgram(const FaultyProgram&) = delete;
+  FaultyProgram& operator=(const FaultyProgram&) = delete;
+
+  // Waits until the program serves.
+  bool serves();
+  // Sends so many requests at once, each on a connection of its own, and waits for what becomes of them.
+  Answers answers(int requests, const std::string& request_class = "segment");
+  // Sends requests by fours until a whole group is completed; false if that takes too long.
+  bool recovers();
+  bool running() { return !process.ended(); }
+
+  transport::Scheduler& scheduler;
+  FaultControl faults;
+  std::vector<std::unique_ptr<rig::Node>> nodes;
+  rig::QuietChangeLog change_log;
+  transport::Address listen;
+
+ private:
+  static std::vector<std::unique_ptr<rig::Node>> make_nodes(transport::Scheduler& scheduler);
+  std::string write_configuration() const;
+  static transport::Task<> request(FaultyProgram& self, std::string request_class, Answers& into);
+  static transport::Task<Answers> ask(FaultyProgram& self, std::string request_class, std::uint64_t number);
+
+  std::string configuration_;
+  std::uint64_t requests_made_ = 0;
+
+ public:
+  rig::Process process;
+};
+
+}  // namespace hareramp::faults
