--- a/src/distribution/snapshot.cpp
+++ b/src/distribution/snapshot.cpp
@@ -10,6 +10,10 @@
 
 using transport::Seconds;
 
+namespace {
+constexpr Seconds kIssuersApart = 5;  // s that the clocks of several issuers may differ by
+}
+
 Snapshot::Snapshot(Seconds purge_lifetime, std::size_t purges_most)
     : purge_lifetime_(purge_lifetime), purges_most_(purges_most) {}
 
@@ -30,17 +34,21 @@
     list_version_ = list.version;
   }
   if (!change.purge) return;
+  const Seconds issued = issuer_time_.take(change.purge->unix_ms);
   purges_[change.purge->subject] = {number, change.members};
-  expiries_.push_back({now + purge_lifetime_, change.purge->subject, number});
+  expiries_.push_back({now + purge_lifetime_, change.purge->subject, number, issued});
+  while (issued - expiries_.front().issuer_time > purge_lifetime_ + kIssuersApart) forget_first();
 }
 
 void Snapshot::expire(Seconds now) {
-  while (!expiries_.empty() && expiries_.front().at <= now) {
-    const auto purge = purges_.find(expiries_.front().subject);
-    // A later purge of the same subject lives on.
-    if (purge != purges_.end() && purge->second.number == expiries_.front().number) purges_.erase(purge);
-    expiries_.pop_front();
-  }
+  while (!expiries_.empty() && expiries_.front().at <= now) forget_first();
+}
+
+void Snapshot::forget_first() {
+  const auto purge = purges_.find(expiries_.front().subject);
+  // A later purge of the same subject lives on.
+  if (purge != purges_.end() && purge->second.number == expiries_.front().number) purges_.erase(purge);
+  expiries_.pop_front();
 }
 
 EncodedPiece Snapshot::after(long long cursor, long long last) const {
--- a/src/distribution/snapshot.hpp
+++ b/src/distribution/snapshot.hpp
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "distribution/change.hpp"
+#include "distribution/issuer_time.hpp"
 #include "distribution/window.hpp"
 #include "transport/scheduler.hpp"
 
@@ -15,8 +16,9 @@
 
 class Snapshot {
  public:
-  // A purge is kept for its lifetime from when it came. The issuer's stamp in it is not read: that clock, or
-  // ours, may have been stepped.
+  // A purge is kept for its lifetime from when it came; less where the stamps of the purges behind it prove
+  // that its lifetime is over (IssuerTime). Stamps are not held against our clock: either may have been
+  // stepped.
   Snapshot(transport::Seconds purge_lifetime, std::size_t purges_most);
 
   // Of two purges of one subject the later event counts, whatever their stamps say.
@@ -45,8 +47,11 @@
     transport::Seconds at = 0;
     PurgeSubject subject;
     long long number = 0;
+    transport::Seconds issuer_time = 0;  // by its stamp
   };
 
+  void forget_first();
+
   transport::Seconds purge_lifetime_;
   std::size_t purges_most_;
   bool has_list_ = false;
@@ -55,6 +60,7 @@
   std::map<std::string, std::string> nodes_;  // entries by id
   std::map<PurgeSubject, LivePurge> purges_;
   std::deque<Expiry> expiries_;  // in order
+  IssuerTime issuer_time_;
 };
 
 }  // namespace hareramp::distribution
--- /dev/null
+++ b/tests/distribution/issuer_time_test.cpp
@@ -0,0 +1,61 @@
+// Time at the issuers of purges by their stamps, through steps of their clocks; and what a relay's snapshot
+// makes of it.
+#include "distribution/issuer_time.hpp"
+
+#include <doctest/doctest.h>
+
+#include "distribution/snapshot.hpp"
+
+using namespace hareramp::distribution;
+using hareramp::transport::Seconds;
+
+namespace {
+
+constexpr double kUnixMs = 1.79e12;
+constexpr Seconds kHour = 3600;
+constexpr Seconds kLifetime = 10;
+
+Change purge_of(std::uint64_t object, double unix_ms) {
+  Change change;
+  change.purge = Purge{{PurgeSubject::Kind::kObject, object}, unix_ms};
+  return change;
+}
+
+// So many purges, all received at once, issued at even distances over an hour.
+Snapshot after_backlog(int purges) {
+  Snapshot snapshot(kLifetime, 1'000'000);
+  for (int i = 0; i < purges; ++i)
+    snapshot.add(0, i + 1, purge_of(static_cast<std::uint64_t>(i), kUnixMs + i * kHour * 1000 / purges));
+  return snapshot;
+}
+
+}  // namespace
+
+TEST_CASE(
+    "issuer time: small gaps count as they are, large ones and steps count little, steps back nothing") {
+  IssuerTime time;
+  CHECK(time.take(kUnixMs) == 0);
+  CHECK(time.take(kUnixMs + 100) == doctest::Approx(0.1));
+  CHECK(time.take(kUnixMs + 300) == doctest::Approx(0.3));
+  CHECK(time.take(kUnixMs + 300 + kHour * 1000) == doctest::Approx(0.3 + IssuerTime::kLongestGap));
+  CHECK(time.take(kUnixMs + 400) == doctest::Approx(0.3 + IssuerTime::kLongestGap));  // stepped back
+  CHECK(time.take(kUnixMs + 400 + kHour * 1000) == doctest::Approx(0.4 + IssuerTime::kLongestGap));
+}
+
+TEST_CASE("a backlog of an hour keeps only what may still matter, also where it is thin") {
+  CHECK(after_backlog(360'000).purges() < 1'700);  // 100 a second, and 16 s of them
+  CHECK(after_backlog(40'000).purges() < 200);
+  CHECK(after_backlog(360).purges() < 100);  // one in 10 s: each proves 0.25 s
+}
+
+TEST_CASE("no step of the issuer's clock drops a purge that is still alive") {
+  for (const Seconds step : {-kHour, -5.0, 5.0, kHour}) {
+    CAPTURE(step);
+    Snapshot snapshot(kLifetime, 1'000'000);
+    // Ten purges a second for 9 s, the clock stepped after each second.
+    for (int i = 0; i < 90; ++i)
+      snapshot.add(i * 0.1, i + 1,
+                   purge_of(static_cast<std::uint64_t>(i), kUnixMs + i * 100 + (i / 10) * step * 1000));
+    CHECK(snapshot.purges() == 90);
+  }
+}
