--- a/experiments/rig/fleet.cpp
+++ b/experiments/rig/fleet.cpp
@@ -32,7 +32,9 @@
 constexpr double kMostWait = 0.4;     // s of work that may wait at a node before it turns away
 constexpr double kFillGivenUp = 1.0;  // s
 constexpr double kStartShare = 0.05, kFallMultiple = 1, kFallSpan = 3;
-constexpr double kNotice = 0.5;  // s until the front no longer sends clients to a dead director
+constexpr double kNotice = 0.5;         // s until the front no longer sends clients to a dead director
+constexpr double kKeepOpenShare = 0.5;  // of the clients that give a request up
+constexpr double kKeepOpenFor = 5;      // s, longer than a director stands still in any scene
 constexpr std::size_t kRoom = 1 << 14;
 constexpr std::uint64_t kMostOpen = 4000;  // clients' requests at once; more are not begun
 const std::string kBytes(400, 'x');
@@ -479,6 +481,13 @@
   --self.open_;
 }
 
+// Some clients give a request up and leave its connection open: only the deadline that they sent with it
+// tells that they no longer wait.
+bool Fleet::draw_keeps_open() { return chance() < kKeepOpenShare; }
+Task<> Fleet::keep_open(Fleet& self, Socket) {
+  co_await self.scheduler_.sleep_until(Scheduler::now() + kKeepOpenFor);
+}
+
 // The status of the answer, 0 without one.
 Task<int> Fleet::ask(int director, const std::string& id, const std::string& request, bool write,
                      std::uint64_t object, int repeat, double& advice) {
@@ -517,6 +526,8 @@
     }
     if (answers == 0)
       history_.add({.at = now(), .what = "unanswered", .request = request, .id = id, .who = who});
+    if (io.end == transport::IoEnd::kTimedOut && draw_keeps_open())
+      scheduler_.spawn(keep_open(*this, std::move(socket)));
     break;
   }
   advice = answer.advice;
--- a/experiments/rig/fleet.hpp
+++ b/experiments/rig/fleet.hpp
@@ -80,6 +80,8 @@
   static transport::Task<> feed_one(Fleet& self, transport::Socket socket);
   static transport::Task<> arrivals(Fleet& self, double until);
   static transport::Task<> request(Fleet& self, std::uint64_t number);
+  bool draw_keeps_open();
+  static transport::Task<> keep_open(Fleet& self, transport::Socket socket);
   transport::Task<int> ask(int director, const std::string& id, const std::string& request, bool write,
                            std::uint64_t object, int repeat, double& advice);
   void serve(Node& node, std::shared_ptr<transport::Socket> socket, std::string id, std::string fields);
