--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -79,6 +79,9 @@
 constexpr Seconds kLeastAge = 1e-5;   // s: an age bound must never round to 0, which means any age
 constexpr int kTop = 2;               // caches by the hash that a request may go to when others are crowded
 
+constexpr Seconds kLocalPause = 0.02;  // s: after a failure of our own side; doubles each time
+constexpr int kLocalFailures = 8;      // of one request: by then its pauses have come to 2.5 s
+
 constexpr int kNobody = -1;
 constexpr Seconds kLongAgo = -1e9;
 
@@ -144,7 +147,7 @@
   double size_kb = 0, lot = 0;
   bool write = false, hot = false, known = false, no_origin = false, in_vain = false, under_way = false;
   bool over = false, bound = false, may_have_run = false, overdue = false, stale_will_do = false;
-  int first_node = kNobody, looks = 0;
+  int first_node = kNobody, looks = 0, local_failures = 0;
   std::vector<Attempt> offs;
   std::vector<int> bad_nodes, bad_sources;
   mutable std::vector<int> caches, parents;  // by the hash, as the list stood at that turn of it
@@ -433,7 +436,11 @@
   bool is_crowded(const Request& p, Seconds spent) {
     return spent - send_time(p) > kTight * (contract_time(p) - send_time(p));
   }
-  bool attempts_left(const Request& p) const { return static_cast<double>(p.offs.size()) < max_attempts; }
+  // What our own side could not even ask for burdens no node and is not counted, but has a bound of its own.
+  bool attempts_left(const Request& p) const {
+    const auto sent = static_cast<double>(p.offs.size()) - p.local_failures;
+    return sent < max_attempts && p.local_failures < kLocalFailures;
+  }
 
   // Rule 2: a fingerprinted request that may have run stays in the group that knows the repeat, and a further
   // attempt must end, not only begin, while repeats are dropped there: past the window it would run again.
@@ -836,10 +843,20 @@
         strike(c, result == Result::kBroken ? 1 : kStrikesOut);
         if (is_out(c) || is_origin(c)) p.bad_nodes.push_back(c);
         break;
+      case Result::kLocalFailure:
+        retry_after_local_failure(p);
+        break;
       default:
         if (result == Result::kTimedOut) suspect(p, off);
     }
   }
+  // Guards against a moment without local ports, descriptors or a route, in which all attempts of a request
+  // would be used up at once. It says nothing of the node, which stays the best to ask.
+  void retry_after_local_failure(Request& p) {
+    const Seconds pause = kLocalPause * (1 << p.local_failures);
+    ++p.local_failures;
+    if (attempts_left(p) && p.hard_stop - now > pause + expected(p)) wait(p, pause);
+  }
   void hear(const NodeId& id, const LoadReport& report) {
     const auto node = index.find(id.value);
     const auto link = report.find("x1");
@@ -1111,7 +1128,8 @@
     m.work_out[off.node] -= m.send_time(p);
     m.out_here[off.node] -= off.in_room, --m.out_from[off.source];
     const bool never_ran = result == Result::kTurnedAway || result == Result::kUnreachable ||
-                           result == Result::kNotSent || result == Result::kAbsent;
+                           result == Result::kNotSent || result == Result::kAbsent ||
+                           result == Result::kLocalFailure;
     p.may_have_run = p.may_have_run || !never_ran;
     m.learn(p, off, result, note, waited, spent);
   }
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -43,7 +43,8 @@
   kBroken,
   kCancelled,
   kNotSent,
-  kAbsent
+  kAbsent,
+  kLocalFailure  // our own side could not set up a connection; the node was not asked, and is not to blame
 };
 enum class Note {
   kNone,
--- a/src/routing/module.cpp
+++ b/src/routing/module.cpp
@@ -297,6 +297,7 @@
       ++counters_.ended_cancelled;
       break;
     case Result::kNotSent:
+    case Result::kLocalFailure:
       ++counters_.ended_not_sent;
       break;
     case Result::kAbsent:
--- a/src/routing/peer.cpp
+++ b/src/routing/peer.cpp
@@ -130,23 +130,29 @@
 // The same id may not be there twice, also not while an answer to an earlier attempt may still come: nothing
 // on the wire would tell the two apart.
 Peer::LinkPointer Peer::choose_link(const RequestId& request) {
+  const LinkPointer least = least_used_link(request, false);
+  if (least && least->open.empty()) return least;
+  if (links_.size() >= limits_.links_per_node || links_held_ >= limits_.links) return least;
+  const auto link = std::make_shared<Link>(*this, limits_);
+  link->self = link;
+  links_.push_back(link);
+  ++links_held_;
+  scheduler_.spawn(run(shared_from_this(), link));
+  return link;
+}
+
+Peer::LinkPointer Peer::least_used_link(const RequestId& request, bool must_be_up) {
   const Seconds old = Scheduler::now() - limits_.link_idle;
   LinkPointer least;
   for (const LinkPointer& link : links_) {
+    if (must_be_up && link->state != Link::State::kUp) continue;
     if (link->retiring || link->doubted || link->open.size() >= limits_.streams_per_link) continue;
     link->forget_until(old);
     if (link->open.contains(request) || link->heard_of.contains(request)) continue;
     if (link->open.empty() && link->state == Link::State::kUp && link->socket.ended()) continue;
     if (!least || link->open.size() < least->open.size()) least = link;
   }
-  if (least && least->open.empty()) return least;
-  if (links_.size() >= limits_.links_per_node || links_held_ >= limits_.links) return least;
-  const auto link = std::make_shared<Link>(*this, limits_);
-  link->self = link;
-  links_.push_back(link);
-  ++links_held_;
-  scheduler_.spawn(run(shared_from_this(), link));
-  return link;
+  return least;
 }
 
 void Peer::send(AttemptNumber number, UpstreamMessage message) {
@@ -277,12 +283,12 @@
 void Peer::end_all(const LinkPointer& link, Result written, Result unwritten, bool may_move_on) {
   while (!link->open.empty()) {
     const RequestId request = link->open.begin()->first;
-    Open open = link->open.begin()->second;
-    const auto piece = std::find_if(link->out.begin(), link->out.end(), [&](const UpstreamMessage& waiting) {
-      return waiting.request == request;
-    });
+    Open& open = link->open.begin()->second;
+    const auto message =
+        std::find_if(link->out.begin(), link->out.end(),
+                     [&](const UpstreamMessage& waiting) { return waiting.request == request; });
     LinkPointer other;
-    if (!open.written && !open.moved_on && may_move_on && !gone_ && piece != link->out.end())
+    if (!open.written && !open.moved_on && may_move_on && !gone_ && message != link->out.end())
       other = choose_link(request);
     if (!other) {
       end(link, request, open.written ? written : unwritten, Note::kNone, 0, {}, {});
@@ -290,15 +296,31 @@
     }
     ++counters_.moved_on;
     open.moved_on = true;
-    link->open.erase(request);
-    other->open.emplace(request, open);
-    piece->bytes.clear();  // out of date by the time they are written there
-    other->out.push_back(std::move(*piece));
-    pump(other);
+    move_attempt(link, std::move(*message), other);
   }
   link->out.clear();
 }
 
+void Peer::move_attempt(const LinkPointer& from, UpstreamMessage message, const LinkPointer& to) {
+  to->open.insert(from->open.extract(message.request));
+  message.bytes.clear();  // out of date by the time they are written there
+  to->out.push_back(std::move(message));
+  pump(to);
+}
+
+void Peer::move_to_links_that_are_up(const LinkPointer& link) {
+  for (std::size_t left = link->out.size(); left > 0; --left) {
+    UpstreamMessage message = std::move(link->out.front());
+    link->out.pop_front();
+    const LinkPointer other = least_used_link(message.request, true);
+    if (other) {
+      move_attempt(link, std::move(message), other);
+    } else {
+      link->out.push_back(std::move(message));
+    }
+  }
+}
+
 void Peer::book(Link& link, Open& open, Result result, Note note, std::size_t octets_read) {
   if (!link.tap) return;
   using ipfix::Outcome;
@@ -413,7 +435,8 @@
     const bool reset = connected.end == transport::ConnectEnd::kReset;
     link->state = Link::State::kClosed;
     forget(link);
-    end_all(link, Result::kBroken, ours ? Result::kNotSent : Result::kUnreachable, reset);
+    if (ours) move_to_links_that_are_up(link);
+    end_all(link, Result::kBroken, ours ? Result::kLocalFailure : Result::kUnreachable, reset);
     co_return;
   }
   ++counters_.links_opened;
--- a/src/routing/peer.hpp
+++ b/src/routing/peer.hpp
@@ -67,6 +67,8 @@
   using LinkPointer = std::shared_ptr<Link>;
 
   LinkPointer choose_link(const RequestId& request);
+  // Of the connections that may carry the request the one with least out; null if there is none.
+  LinkPointer least_used_link(const RequestId& request, bool must_be_up);
   void send(AttemptNumber number, UpstreamMessage message);
   // Looks after an attempt: at until it must have begun, at give_up_at it must have ended.
   transport::Scheduler::TimerKey watch(const RequestId& request, AttemptNumber number, Seconds until,
@@ -75,6 +77,10 @@
   void end(const LinkPointer& link, const RequestId& request, Result result, Note note, Seconds waited,
            LoadReport report, Content content);
   void end_all(const LinkPointer& link, Result written, Result unwritten, bool may_move_on);
+  // Moves an attempt of which the node has nothing whole to another connection.
+  void move_attempt(const LinkPointer& from, UpstreamMessage message, const LinkPointer& to);
+  // The same for the attempts of a connection that did not come up, where others are up and have room.
+  void move_to_links_that_are_up(const LinkPointer& link);
   void drop(const LinkPointer& link);
   void forget(const LinkPointer& link);
   void settle(const LinkPointer& link);
--- /dev/null
+++ b/tests/routing/local_failures_test.cpp
@@ -0,0 +1,171 @@
+// Connections to nodes that fail on our own side: no local port, no descriptor, no network. The system calls
+// of this test program are its own: they fail where a test says so, and are the system's elsewhere.
+#include <dlfcn.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+#include <set>
+
+#include "helpers.hpp"
+#include "program/serve.hpp"
+#include "routing/ends.hpp"
+#include "routing/module.hpp"
+
+using namespace hareramp;
+using namespace hareramp::routing;
+using transport::Scheduler;
+
+namespace {
+
+// So many of the next calls fail; one for connections to be set up, one for their sockets.
+struct InjectedFailure {
+  int error = 0;  // errno
+  int calls = 0;  // that are still to fail
+};
+InjectedFailure connect_failure;
+InjectedFailure socket_failure;
+
+bool fails(InjectedFailure& failure) {
+  if (failure.calls == 0) return false;
+  --failure.calls;
+  errno = failure.error;
+  return true;
+}
+
+// Ends the failures with the test, however it ends.
+struct FailuresEnd {
+  ~FailuresEnd() { connect_failure = socket_failure = InjectedFailure(); }
+};
+
+template <class Function>
+Function* system_call(const char* name) {
+  return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
+}
+
+// Whoever asked for the requests of a site.
+class Client : public Asker {
+ public:
+  void completed(const RequestId&, Content) override { ++served; }
+  void bounced(const RequestId&, Seconds) override { ++rejected; }
+  void forfeited(const RequestId&) override { ++failed; }
+  int served = 0, rejected = 0, failed = 0;
+};
+
+}  // namespace
+
+extern "C" int connect(int descriptor, const sockaddr* to, socklen_t size) {
+  if (fails(connect_failure)) return -1;
+  return system_call<int(int, const sockaddr*, socklen_t)>("connect")(descriptor, to, size);
+}
+
+extern "C" int socket(int domain, int type, int protocol) noexcept {
+  if (fails(socket_failure)) return -1;
+  return system_call<int(int, int, int)>("socket")(domain, type, protocol);
+}
+
+TEST_CASE("a connection that our own side can't ask for: the attempt ends as such, and the next goes out") {
+  const FailuresEnd failures_end;
+  const std::vector<std::pair<InjectedFailure*, int>> failures = {
+      {&connect_failure, EADDRNOTAVAIL}, {&connect_failure, ENETUNREACH}, {&connect_failure, ENOBUFS},
+      {&socket_failure, EMFILE},         {&socket_failure, ENFILE},       {&socket_failure, ENOBUFS}};
+  for (const auto& [failure, error] : failures) {
+    CAPTURE(error);
+    Ends desk;
+    *failure = {error, 1};
+    desk.attempt("p1");
+    CHECK(desk.until([&] { return desk.results.size() == 1; }));
+    CHECK(desk.links == 0);
+    desk.attempt("p1");
+    CHECK(desk.until([&] { return desk.node.heard_all("serve p1"); }));
+    desk.node.ends.at(0)->send("p1 ACK - 0\r\n\r\n");
+    CHECK(desk.until([&] { return desk.results.size() == 2; }));
+    CHECK(desk.results == std::vector{Result::kLocalFailure, Result::kCompleted});
+  }
+}
+
+TEST_CASE("what waits for a connection that can't be asked for goes out on one that is up") {
+  const FailuresEnd failures_end;
+  Ends desk;
+  desk.attempt("p1");
+  CHECK(desk.until([&] { return desk.node.heard_all("serve p1"); }));
+  connect_failure = {EADDRNOTAVAIL, 1};
+  desk.attempt("p2");
+  CHECK(desk.until([&] { return desk.node.heard_all("serve p2") || !desk.results.empty(); }));
+  CHECK(connect_failure.calls == 0);
+  CHECK(desk.links == 1);
+  REQUIRE(desk.results.empty());
+  desk.node.ends.at(0)->send("p2 ACK - 0\r\n\r\np1 ACK - 0\r\n\r\n");
+  CHECK(desk.until([&] { return desk.results.size() == 2; }));
+  CHECK(desk.results == std::vector{Result::kCompleted, Result::kCompleted});
+}
+
+TEST_CASE("failures of our own: tried again after pauses, at the same node, which is not to blame") {
+  Rig rig;
+  rig.list(ListScope::kFull, "c1 P1 O");
+  for (const int grade : {0, 2}) {  // a read, and a binding write: it never ran
+    const std::string request = "p" + std::to_string(grade);
+    rig.request(request, 7, grade);
+    for (int number = 0; number < 7; ++number) {
+      REQUIRE(rig.node_of[request].size() == static_cast<std::size_t>(number) + 1);
+      rig.ends(request, number, Result::kLocalFailure, Note::kNone, 0);
+      CHECK(rig.node_of[request].size() == static_cast<std::size_t>(number) + 1);
+      rig.run_until(rig.now + 0.02 * (1 << number) + 0.001);
+    }
+    rig.taken();
+    rig.ends(request, 7, Result::kLocalFailure, Note::kNone, 0);
+    CHECK(rig.taken().find(request + ": bounce") != std::string::npos);
+    for (const std::string& node : rig.node_of[request]) CHECK(node == "c1");
+  }
+  rig.request("next", 7);
+  CHECK(rig.node_of["next"] == std::vector<std::string>{"c1"});
+}
+
+TEST_CASE("a moment without local ports costs no request its answer") {
+  const FailuresEnd failures_end;
+  Scheduler scheduler;
+  StandIn cache(scheduler), parent(scheduler), origin(scheduler);
+  const auto nothing = *protocol::Json::parse("{}");
+  Limits limits = program::fill_limits(nothing, nothing);
+  limits.link_doubt = limits.link_stall = limits.connect = limits.begin_within = 15;
+  Counters counters;
+  std::FILE* sink = std::tmpfile();
+  Log log{fileno(sink)};
+  const Names names{
+      {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
+  ModuleActor module(scheduler, limits, counters, log, names, Rig::usual_settings(), 7);
+  module.start();
+  const auto entry = [](const char* id, const StandIn& node, const char* zone, const char* kind) {
+    return R"({"id":")" + std::string(id) + R"(","addr":")" + node.address.text() + R"(","zone":")" + zone +
+           R"(","kind":")" + kind + R"(","cell":1,"state":"active","weight":6,"started_ms":0})";
+  };
+  const auto list = *protocol::Json::parse(
+      R"({"seq":5,"fleet":{"full":true,"servers":[)" + entry("c1", cache, "z2", "cache") + "," +
+      entry("P1", parent, "z0", "parent") + "," + entry("O", origin, "z1", "origin") + "]}}");
+  bool listed = false;
+  module.changes_arrived({{0, list}}, false, [&](bool taken) { listed = taken; });
+  REQUIRE(runs_until(scheduler, [&] { return listed; }));
+
+  // As many failures as the requests have attempts, all together.
+  const auto client = std::make_shared<Client>();
+  connect_failure = {EADDRNOTAVAIL, 2 * std::stoi(Rig::usual_settings().at("Permissions.MaxAttempts"))};
+  for (const bool write : {false, true}) {  // the write is binding: one that was not sent may still be sent
+    auto wording = std::make_shared<protocol::Wording>();
+    wording->lane = write ? "write" : "video", wording->name = "7f";
+    module.request_arrived({write ? "write" : "read"}, {write ? 2 : 0}, {7}, {0}, {1}, Scheduler::now() + 15,
+                           400, false, write, wording, client);
+  }
+  std::set<std::string> answered;
+  const auto answer_all = [&] {
+    for (const auto& end : cache.ends) {
+      for (const std::string request : {"read", "write"}) {
+        if (!end->heard_all("serve " + request + " ") || !answered.insert(request).second) continue;
+        end->send(request + " ACK why=mem 2\r\nok\r\n");
+      }
+    }
+    return client->served + client->rejected + client->failed == 2;
+  };
+  CHECK(runs_until(scheduler, answer_all));
+  CHECK(client->served == 2);
+  CHECK(connect_failure.calls == 0);
+  std::fclose(sink);
+}
