--- a/src/routing/peer.cpp
+++ b/src/routing/peer.cpp
@@ -12,6 +12,10 @@
 using transport::Scheduler;
 using transport::Task;
 
+namespace {
+constexpr Seconds kWriteAgain = 0.01;  // s: after a write that failed, while the connection stands
+}  // namespace
+
 class Peer::Link : public protocol::AnswerHandler {
  public:
   enum class State { kConnecting, kUp, kClosed };
@@ -63,7 +67,8 @@
   transport::Buffer in;
   protocol::AnswerParser parser;
   std::deque<UpstreamMessage> out;
-  std::size_t out_sent = 0;  // bytes of the first piece that are written
+  std::size_t out_sent = 0;   // bytes of the first piece that are written
+  bool writes_again = false;  // after a write that failed, in a moment
   bool draining = false, retiring = false, doubted = false;
   bool served = false;  // the node has answered something on it but that it is full
   std::map<RequestId, Open> open;
@@ -391,11 +396,24 @@
     const Io io = link->socket.write_now(bytes.substr(link->out_sent));
     wrote(*link, io.bytes);
     if (io.end == IoEnd::kTimedOut) return false;
-    if (!io.ok()) return true;  // the reading side ends the connection, after what the node still had to say
+    if (!io.ok()) {  // the reading side ends the connection, after what the node still had to say
+      write_again_later(link);
+      return true;
+    }
   }
   return true;
 }
 
+// Guards against a write that fails for want of memory on our own side: the connection stands, and nothing
+// else would tell when to write again. Costs a vain try where the reading side has not yet seen the end.
+void Peer::write_again_later(const LinkPointer& link) {
+  if (std::exchange(link->writes_again, true)) return;
+  scheduler_.at(Scheduler::now() + kWriteAgain, [self = shared_from_this(), link] {
+    link->writes_again = false;
+    self->pump(link);
+  });
+}
+
 void Peer::pump(const LinkPointer& link) {
   if (link->state != Link::State::kUp || link->draining || write_out(link)) return;
   link->draining = true;
--- a/src/routing/peer.hpp
+++ b/src/routing/peer.hpp
@@ -85,6 +85,7 @@
   void forget(const LinkPointer& link);
   void settle(const LinkPointer& link);
   void pump(const LinkPointer& link);
+  void write_again_later(const LinkPointer& link);
   bool write_out(const LinkPointer& link);
   // Makes the bytes of the message whose first byte is the next to go. False: it may not go any more, its
   // attempt has ended and it is taken out.
