--- a/src/routing/module.cpp
+++ b/src/routing/module.cpp
@@ -25,6 +25,8 @@
 
   void list_starts(bool whole) override {
     whole_ = whole;
+    module_.start_times_.list_starts(
+        known_ ? policy::ListSource::kKnownBeforeStart : policy::ListSource::kChangeStream, whole);
     module_.director_->list_starts(
         now(), whole ? known_ ? ListScope::kCached : ListScope::kFull : ListScope::kChanges);
   }
@@ -39,10 +41,11 @@
       listed_.insert(node);
       connect(node, *place, kind);
     }
-    const Seconds age = transport::Clock::unix_now() - started_unix_ms / 1000;
+    // The director's clock is near Unix time by a base that was fixed at its start: later steps move nothing.
+    const Seconds started =
+        readiness == Readiness::kGone ? 0 : module_.start_times_.started(now(), node, started_unix_ms / 1000);
     module_.director_->list_entry(now(), node, {index(module_.names_.zones, zone)},
-                                  {index(module_.names_.kinds, kind)}, cell, readiness, weight,
-                                  started_unix_ms > 0 ? now() - age : 0);
+                                  {index(module_.names_.kinds, kind)}, cell, readiness, weight, started);
   }
   void list_ends() override {
     if (whole_) {
@@ -92,6 +95,7 @@
     module_.addresses_[node] = address;
   }
   void retire(const NodeId& node) {
+    module_.start_times_.forget(node);
     const auto found = module_.peers_.find(node);
     if (found == module_.peers_.end()) return;
     found->second->gone();
--- a/src/routing/module.hpp
+++ b/src/routing/module.hpp
@@ -13,6 +13,7 @@
 #include "base/log.hpp"
 #include "distribution/change_receiver.hpp"
 #include "policy.hpp"
+#include "policy/start_times.hpp"
 #include "protocol/events.hpp"
 #include "protocol/lines.hpp"
 #include "routing/peer.hpp"
@@ -121,6 +122,7 @@
   std::map<NodeId, std::shared_ptr<Peer>> peers_;
   std::map<NodeId, transport::Address> addresses_;
   std::map<RequestId, Request> requests_;
+  policy::StartTimes start_times_;
   std::unique_ptr<Director> director_;
 };
 
--- a/src/transport/clock.hpp
+++ b/src/transport/clock.hpp
@@ -1,6 +1,6 @@
-// The director's own time: seconds that only go forward, near the Unix time of the start. Times told by
-// others are Unix times; they are carried over by their distance from the system clock's now, so that a step
-// of that clock moves nothing that is under way.
+// The director's own time: seconds that only go forward, near Unix time by a base that is fixed at the start.
+// A Unix time told by others is a time on this clock as it stands, so that a later step of the system's clock
+// moves neither what is under way nor what is told.
 #pragma once
 
 #include <time.h>
@@ -16,6 +16,7 @@
   // From and to the scheduler's time.
   Seconds of_scheduler(Seconds time) const { return base_ + time; }
   Seconds to_scheduler(Seconds time) const { return time - base_; }
+  // The wall clock, which may step at any time: for stamps in records, never for a span.
   static Seconds unix_now() {
     timespec time{};
     clock_gettime(CLOCK_REALTIME, &time);
--- a/tests/wall_clock/wall_clock_test.cpp
+++ b/tests/wall_clock/wall_clock_test.cpp
@@ -42,7 +42,7 @@
   static std::string entry(const std::string& id, const StandIn& node, const std::string& zone,
                            const std::string& kind, Seconds started) {
     return R"({"id":")" + id + R"(","addr":")" + node.address.text() + R"(","zone":")" + zone +
-           R"(","kind":")" + kind + R"(","cell":1,"state":"active","weight":6,"started_ms":)" +
+           R"(","kind":")" + kind + R"(","cell":1,"state":"active","weight":60,"started_ms":)" +
            std::to_string(static_cast<long long>(started * 1000)) + "}";
   }
   static std::string fleet(bool whole, const std::vector<std::string>& entries) {
@@ -64,10 +64,10 @@
     const std::string digits = std::to_string(number);
     return std::string(16 - digits.size(), '0') + digits;
   }
-  static std::string get(int number) {
+  static std::string get(int number, const std::string& size_kb = "412.5") {
     return "GET /invoke/video/" + std::to_string(number) +
            "/block-0 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id_of(number) +
-           "\r\nX-Deadline-Ms: 15000\r\nX-Family: 17\r\nX-Need-Kb: 412.5\r\n\r\n";
+           "\r\nX-Deadline-Ms: 15000\r\nX-Family: 17\r\nX-Need-Kb: " + size_kb + "\r\n\r\n";
   }
   void hears(StandIn& node, const std::string& words) {
     CHECK_MESSAGE(runs_until(scheduler, [&] { return node.heard_all(words); }),
@@ -91,6 +91,14 @@
   return at == std::string::npos ? "" : heard.substr(at, heard.find('\n', at) - at);
 }
 
+std::size_t attempts_at(const StandIn& node) {
+  std::size_t found = 0;
+  for (const auto& end : node.ends)
+    for (auto at = end->heard.find("serve "); at != std::string::npos; at = end->heard.find("serve ", at + 1))
+      ++found;
+  return found;
+}
+
 }  // namespace
 
 TEST_CASE("a purge is kept whatever the director's clock and the issuer's clock say of its age") {
@@ -108,3 +116,28 @@
     }
   }
 }
+
+TEST_CASE("a cache listed as just started gets little, whatever the clocks say of its start") {
+  // The settings let it have 33.6 transfer seconds in 2 s; a request is 4 of them.
+  constexpr std::size_t kMost = 9;
+  constexpr int kRequests = 40;
+  for (const Seconds step : {-kHour, -5.0, 0.0, kHour}) {
+    Site site;
+    StandIn fresh(site.scheduler);
+    const Seconds started = Clock::unix_now();
+    step_wall_clock(step);
+    site.tell(Site::fleet(false, {Site::entry("c2", fresh, "z2", "cache", started)}));
+    std::vector<std::shared_ptr<End>> clients;
+    for (int number = 1; number <= kRequests; ++number) {
+      clients.push_back(dial(site.scheduler, site.front->address()));
+      clients.back()->send(Site::get(number, "4000"));
+    }
+    CHECK(runs_until(site.scheduler, [&] { return site.counters.taken == kRequests; }));
+    const auto attempts = [&] {
+      return attempts_at(fresh) + attempts_at(site.cache) + attempts_at(site.origin);
+    };
+    CHECK(runs_until(site.scheduler, [&] { return attempts() >= kRequests; }));
+    CHECK(attempts_at(fresh) > 0);
+    CHECK_MESSAGE(attempts_at(fresh) <= kMost, "step " << step);
+  }
+}
