--- a/src/flow/backlog.hpp
+++ b/src/flow/backlog.hpp
@@ -26,6 +26,7 @@
   MessageNumber end() const { return first_ + messages_.size(); }  // the number of the next one
   // Null if it is no longer, or not yet, here.
   MessagePointer at(MessageNumber number) const;
+  bool empty() const { return messages_.empty(); }
   std::size_t bytes() const { return bytes_; }
   // Those before number are no longer needed by anyone.
   void release(MessageNumber number);
--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
+#include <limits>
 #include <stdexcept>
 #include <utility>
 
@@ -20,6 +21,13 @@
 
 constexpr Seconds kPoll = 0.05;  // s between a receiver's looks where nothing wakes it
 
+// After a failure of the spool's disk, doubling from one to the other.
+constexpr Seconds kFirstDiskPause = 0.2;
+constexpr Seconds kLongestDiskPause = 10;
+// Of messages in one commit, but no more than this part of the spool: a commit needs free pages in it.
+constexpr std::size_t kBatchBytes = 256 << 10;
+constexpr std::size_t kBatchPart = 16;
+
 Endpoint endpoint_of(const transport::Address& address) {
   Endpoint endpoint;
   const auto bytes = address.bytes();
@@ -114,14 +122,19 @@
   std::vector<ReceiverPointer> receivers;
   // Where there is a spool: all before this number went through it, and may be sent.
   MessageNumber on_disk;
-  MessageNumber to_disk = 0;         // up to here jobs are out
-  std::set<MessageNumber> not_kept;  // in memory only: the disk did not take them
+  MessageNumber to_disk = 0;         // up to here they are on the disk, or a job is out
+  std::set<MessageNumber> not_kept;  // in memory only: the disk did not take them, or dropped them
   bool spooled = false;
+  bool appending = false;   // a job is out; one at a time, as numbers on the disk have to go up
+  bool disk_fails = false;  // messages are sent from memory until an append succeeds
   std::uint64_t messages = 0, flows = 0, octets = 0;
   Seconds templates_at = 0;
   std::size_t since_templates = 0;
 
-  MessageNumber sendable() const { return spooled ? on_disk : backlog.end(); }
+  MessageNumber sendable() const { return spooled && !disk_fails ? on_disk : backlog.end(); }
+  bool is_on_disk(MessageNumber number) const {
+    return spooled && number < on_disk && !not_kept.contains(number);
+  }
 };
 
 Exporter::Exporter(Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
@@ -148,6 +161,7 @@
     if (const auto last = spool_->last(error)) first = last->number + 1, first_sequence = last->next_sequence;
     stored_cursors_ = spool_->cursors(error);
     for (const auto& [reader, next] : stored_cursors_) first = std::max(first, next);
+    first_of_run_ = first;
   }
   for (const Protocol protocol : {Protocol::kIpfix, Protocol::kNetflow9}) {
     const bool ipfix = protocol == Protocol::kIpfix;
@@ -329,7 +343,7 @@
   stream.backlog.release(needed);
   stream.not_kept.erase(stream.not_kept.begin(), stream.not_kept.lower_bound(stream.backlog.first()));
   stream.backlog.keep_bound([&](MessageNumber number, const ipfix::Message& message) {
-    if (stream.spooled && number < stream.on_disk && !stream.not_kept.contains(number)) return;
+    if (stream.is_on_disk(number)) return;
     account_dropped(stream, number, message.flows, message.packets, message.octets);
     stream.to_disk = std::max(stream.to_disk, number + 1);
     stream.on_disk = std::max(stream.on_disk, number + 1);
@@ -418,12 +432,14 @@
   while (table_.end_some(now(), EndReason::kForced, limits_.flows_a_turn))
     co_await scheduler_.sleep_until(Scheduler::now());
   finished_ = true;
+  disk_again_at_ = 0;
+  disk_pause_ = 0;
   tell_figures();
   flush();
   const auto all_out = [&] {
     if (worker_ && worker_->waiting() > 0) return false;
     return std::all_of(streams_.begin(), streams_.end(), [](const auto& stream) {
-      if (stream->spooled && stream->to_disk < stream->backlog.end()) return false;
+      if (stream->spooled && !stream->disk_fails && stream->to_disk < stream->backlog.end()) return false;
       return std::all_of(stream->receivers.begin(), stream->receivers.end(), [&](const auto& receiver) {
         const bool all_taken = !receiver->session || receiver->session->stream.unacknowledged() == 0;
         return all_taken && receiver->cursor >= stream->backlog.end();
@@ -438,10 +454,12 @@
     co_await scheduler_.sleep_until(Scheduler::now() + 0.002);
   }
   spool_at_ = 0;
+  disk_again_at_ = 0;
   look_after_spool();
   while (worker_ && worker_->waiting() > 0 && Scheduler::now() < until)
     co_await scheduler_.sleep_until(Scheduler::now() + 0.002);
   for (const auto& stream : streams_) {
+    account_left_in_memory(*stream);
     for (const auto& receiver : stream->receivers) {
       receiver->stopped = true;
       if (receiver->session) receiver->session->stream.finish();
@@ -455,10 +473,45 @@
 
 // --- the disk ---
 
+void Exporter::disk_worked() {
+  if (disk_pause_ == 0) return;
+  disk_pause_ = 0;
+  disk_again_at_ = 0;
+  log_.info("spool_well", "flow export: the disk takes messages again");
+}
+
+void Exporter::disk_failed(const std::string& error) {
+  if (now() < disk_again_at_) return;  // a job that was out when another failed
+  if (disk_pause_ == 0)
+    log_.warning("spool_failed", "flow export: the disk does not take messages: {}; they wait in memory",
+                 error);
+  disk_pause_ = disk_pause_ == 0 ? kFirstDiskPause : std::min(2 * disk_pause_, kLongestDiskPause);
+  disk_again_at_ = now() + disk_pause_;
+}
+
+// What the spool dropped to keep its bounds may still be in memory, and is then sent from there.
+void Exporter::account_dropped_from_disk(Stream& stream, const storage::Dropped& dropped) {
+  for (const storage::SpoolEntry& entry : dropped) {
+    if (stream.backlog.at(entry.number))
+      stream.not_kept.insert(entry.number);
+    else
+      account_dropped(stream, entry.number, entry.flows, entry.packets, entry.octets);
+  }
+}
+
+// At the end: what no disk holds is lost to the receivers that have not got it.
+void Exporter::account_left_in_memory(Stream& stream) {
+  for (MessageNumber number = stream.backlog.first(); number < stream.backlog.end(); ++number) {
+    if (stream.is_on_disk(number)) continue;
+    const MessagePointer message = stream.backlog.at(number);
+    account_dropped(stream, number, message->flows, message->packets, message->octets);
+  }
+}
+
+// Messages that the disk did not take are sent from memory, and given to the disk again after a pause.
 void Exporter::spool_what_waits(Stream& stream) {
-  if (worker_->waiting() > 1) return;  // the next batch takes what comes meanwhile: one commit for many
-  const MessageNumber from = std::max(stream.to_disk, stream.backlog.first()), to = stream.backlog.end();
-  if (from >= to) return;
+  if (stream.appending || now() < disk_again_at_) return;
+  const MessageNumber from = std::max(stream.to_disk, stream.backlog.first());
   struct Batch {
     std::vector<storage::SpoolEntry> entries;
     storage::Dropped dropped;
@@ -466,39 +519,54 @@
     bool kept = false;
   };
   const auto batch = std::make_shared<Batch>();
-  for (MessageNumber number = from; number < to; ++number) {
-    const MessagePointer message = stream.backlog.at(number);
-    batch->entries.push_back({number, now(), message->flows, message->packets, message->octets,
+  const std::size_t bytes_most = std::min(kBatchBytes, settings_.spool.bytes / kBatchPart);
+  std::size_t bytes = 0;
+  MessageNumber to = from;
+  for (; to < stream.backlog.end() && bytes < bytes_most; ++to) {
+    const MessagePointer message = stream.backlog.at(to);
+    batch->entries.push_back({to, now(), message->flows, message->packets, message->octets,
                               message->next_sequence, message->bytes});
+    bytes += message->bytes.size();
   }
+  if (batch->entries.empty()) return;
   const auto job = [spool = spool_.get(), batch] {
     batch->kept = spool->append(batch->entries, batch->dropped, batch->error);
   };
   const auto done = [this, &stream, batch, from, to] {
+    stream.appending = false;
+    stream.disk_fails = !batch->kept;
+    stream.on_disk = std::max(stream.on_disk, to);
     if (batch->kept) {
       counters_.spool_written += to - from;
-      if (std::exchange(spool_ill_, false))
-        log_.info("spool_well", "flow export: the disk takes messages again");
+      stream.not_kept.erase(stream.not_kept.lower_bound(from), stream.not_kept.lower_bound(to));
+      account_dropped_from_disk(stream, batch->dropped);
+      disk_worked();
     } else {
-      counters_.spool_failed += to - from;
-      for (MessageNumber number = from; number < to; ++number) stream.not_kept.insert(number);
-      if (!std::exchange(spool_ill_, true))
-        log_.warning("spool_failed", "flow export: the disk does not take messages: {}; they wait in memory",
-                     batch->error);
+      for (MessageNumber number = from; number < to; ++number)
+        if (stream.not_kept.insert(number).second) ++counters_.spool_failed;
+      stream.to_disk = from;
+      disk_failed(batch->error);
     }
-    for (const storage::SpoolEntry& entry : batch->dropped)
-      if (!stream.backlog.at(entry.number))
-        account_dropped(stream, entry.number, entry.flows, entry.packets, entry.octets);
-    stream.on_disk = std::max(stream.on_disk, to);
     keep_bound(stream);
+    spool_what_waits(stream);
     for (const auto& receiver : stream.receivers) receiver->awake.notify();
   };
-  if (worker_->post(job, done)) stream.to_disk = to;
+  if (!worker_->post(job, done)) return;
+  stream.to_disk = to;
+  stream.appending = true;
+}
+
+// Ages are spans of this run's clock. The stamps of earlier runs are of other clocks, and the system's may
+// have been set in between: their age counts from the start of this run.
+Exporter::SpoolAge Exporter::spool_age() const {
+  const Seconds oldest = now() - settings_.spool.age;
+  if (oldest < started_) return {0, -std::numeric_limits<Seconds>::infinity()};
+  return {first_of_run_, oldest};
 }
 
 // Cursors go to the disk, and what nobody needs any more, or is too old, goes from it.
 void Exporter::look_after_spool() {
-  if (!spool_ || now() < spool_at_ + limits_.flow_trim) return;
+  if (!spool_ || now() < spool_at_ + limits_.flow_trim || now() < disk_again_at_) return;
   spool_at_ = now();
   Stream& stream = *streams_[0];
   MessageNumber needed = stream.sendable();
@@ -508,27 +576,31 @@
     cursors[receiver->name] = receiver->floor();
   }
   struct Work {
-    std::map<std::string, std::uint64_t> changed;
+    std::map<std::string, std::uint64_t> changed, written;
     storage::Dropped dropped;
     std::string error;
+    bool done = false;
   };
   const auto work = std::make_shared<Work>();
   for (const auto& [reader, next] : cursors)
     if (const auto stored = stored_cursors_.find(reader);
         stored == stored_cursors_.end() || stored->second != next)
       work->changed[reader] = next;
-  const Seconds oldest = now() - settings_.spool.age;
-  const auto job = [spool = spool_.get(), work, needed, oldest] {
-    for (const auto& [reader, next] : work->changed) spool->put_cursor(reader, next, work->error);
-    spool->trim(needed, oldest, work->dropped, work->error);
+  const SpoolAge age = spool_age();
+  const MessageNumber before = std::max(needed, age.number);
+  const auto job = [spool = spool_.get(), work, before, written = age.written] {
+    for (const auto& [reader, next] : work->changed) {
+      if (!spool->put_cursor(reader, next, work->error)) return;
+      work->written[reader] = next;
+    }
+    work->done = spool->trim(before, written, work->dropped, work->error);
   };
   const auto done = [this, &stream, work] {
-    for (const storage::SpoolEntry& entry : work->dropped)
-      if (!stream.backlog.at(entry.number))
-        account_dropped(stream, entry.number, entry.flows, entry.packets, entry.octets);
+    for (const auto& [reader, next] : work->written) stored_cursors_[reader] = next;
+    account_dropped_from_disk(stream, work->dropped);
+    if (!work->done) disk_failed(work->error);
   };
-  if (worker_->post(job, done))
-    for (const auto& [reader, next] : work->changed) stored_cursors_[reader] = next;
+  worker_->post(job, done);
 }
 
 // The next message for a receiver, from memory or from the disk; null if there is none now.
@@ -545,6 +617,7 @@
   while (!receiver.from_disk.empty() && receiver.from_disk.front().number < receiver.cursor)
     receiver.from_disk.pop_front();
   if (receiver.from_disk.empty()) {
+    if (now() < disk_again_at_) co_return nullptr;
     struct Work {
       std::vector<storage::SpoolEntry> entries;
       std::string error;
@@ -560,6 +633,10 @@
     };
     if (!worker_->post(job, done)) co_return nullptr;
     while (!work->done) co_await receiver.from_disk_ready.wait();
+    if (work->entries.empty() && !work->error.empty()) {  // it is on the disk all the same: read again later
+      disk_failed(work->error);
+      co_return nullptr;
+    }
     counters_.spool_read += work->entries.size();
     receiver.from_disk.assign(std::make_move_iterator(work->entries.begin()),
                               std::make_move_iterator(work->entries.end()));
@@ -569,6 +646,12 @@
     co_return stream.backlog.at(receiver.cursor);
   }
   storage::SpoolEntry& entry = receiver.from_disk.front();
+  // What the spool has dropped may still be in memory.
+  const bool memory_is_older = !stream.backlog.empty() && stream.backlog.first() < entry.number;
+  if (memory_is_older && receiver.cursor < stream.backlog.first()) {
+    receiver.cursor = stream.backlog.first();
+    co_return stream.backlog.at(receiver.cursor);
+  }
   receiver.cursor = std::max(receiver.cursor, entry.number);
   ipfix::Message message;
   message.bytes = std::move(entry.bytes);
--- a/src/flow/exporter.hpp
+++ b/src/flow/exporter.hpp
@@ -81,6 +81,16 @@
   void keep_bound(Stream& stream);
   void spool_what_waits(Stream& stream);
   void look_after_spool();
+  // The oldest that the spool still has to keep, and the time of writing before which entries are too old.
+  struct SpoolAge {
+    std::uint64_t number = 0;
+    Seconds written = 0;
+  };
+  SpoolAge spool_age() const;
+  void account_dropped_from_disk(Stream& stream, const storage::Dropped& dropped);
+  void account_left_in_memory(Stream& stream);
+  void disk_worked();
+  void disk_failed(const std::string& error);
   DeliveryTimes times() const;
 
   static transport::Task<> live(Exporter& self);
@@ -106,7 +116,10 @@
   std::unique_ptr<storage::Worker> worker_;
   std::map<std::string, std::uint64_t> stored_cursors_;
   Seconds figures_at_ = 0, spool_at_ = 0;
-  bool figures_due_ = true, finished_ = false, spool_ill_ = false;
+  Seconds disk_again_at_ = 0;       // the disk is left alone until then
+  Seconds disk_pause_ = 0;          // the last such pause; 0: the disk works
+  std::uint64_t first_of_run_ = 0;  // in the spool; what stands before has the stamps of another run's clock
+  bool figures_due_ = true, finished_ = false;
   std::uint64_t records_told_ = 0;
 };
 
--- a/tests/storage/disk_faults.cpp
+++ b/tests/storage/disk_faults.cpp
@@ -48,7 +48,7 @@
   const int step = ++held.steps;
   const Script& script = held.script;
   const bool in_script = step >= script.first_step && step <= script.last_step;
-  const bool fails_after = step > script.last_step && step <= script.fails_until;
+  const bool fails_after = step > script.last_step && script.last_step > 0 && step <= script.fails_until;
   if (!in_script && !fails_after) return Verdict::kPass;
   ++held.hits;
   if (fails_after) return Verdict::kFail;
@@ -70,6 +70,14 @@
   return next_step();
 }
 
+void note_sync() {
+  State& held = state();
+  const std::lock_guard lock(held.mutex);
+  if (!held.script.after_first_sync || held.script.first_step != kAlways) return;
+  held.script.first_step = held.steps + 1;
+  held.script.last_step = held.steps + 1;
+}
+
 template <class Result>
 Result failed() {
   errno = state().script.error_number;
@@ -185,7 +193,9 @@
 
 int fdatasync(int descriptor) {
   static auto* const next = next_of<int(int)>("fdatasync");
-  return do_whole(verdict_on(descriptor), [&] { return next(descriptor); });
+  const auto verdict = verdict_on(descriptor);
+  if (disk_faults::in_force.load()) disk_faults::note_sync();
+  return do_whole(verdict, [&] { return next(descriptor); });
 }
 
 int fsync(int descriptor) {
--- a/tests/storage/disk_faults.hpp
+++ b/tests/storage/disk_faults.hpp
@@ -26,6 +26,8 @@
   int error_number = 0;
   // The steps after the last one up to this one fail without doing anything.
   int fails_until = 0;
+  // The first and last step is the one after the first fdatasync: in LMDB, a commit's write of the meta page.
+  bool after_first_sync = false;
 };
 
 // The script is in force until the object goes. One at a time.
