--- a/src/transport/scheduler.cpp
+++ b/src/transport/scheduler.cpp
@@ -173,9 +173,9 @@
   side.waiting = handle;
   side.timed = until < kNever;
   if (side.timed)
-    side.timer = watch.scheduler_.at(until, [this_watch = &watch, this_side = &side] {
+    side.timer = watch.scheduler_.at(until, [this_watch = &watch, this_side = &side, result = when_over] {
       this_side->timed = false;
-      this_watch->wake(*this_side, Wake::kTimedOut);
+      this_watch->wake(*this_side, result);
     });
 }
 
--- a/src/transport/scheduler.hpp
+++ b/src/transport/scheduler.hpp
@@ -109,12 +109,17 @@
     Watch& watch;
     Side& side;
     Seconds until;
+    Wake when_over = Wake::kTimedOut;  // the result at that time
     bool await_ready() const noexcept { return watch.closed_; }
     void await_suspend(std::coroutine_handle<> handle);
     Wake await_resume() const noexcept { return watch.closed_ ? Wake::kClosed : side.result; }
   };
   Wait readable(Seconds until) { return {*this, reading_, until}; }
   Wait writable(Seconds until) { return {*this, writing_, until}; }
+  // After a call that failed for want of kernel memory: no event tells when to try again, so by then at the
+  // latest it is taken for ready.
+  Wait readable_by(Seconds then) { return {*this, reading_, then, Wake::kReady}; }
+  Wait writable_by(Seconds then) { return {*this, writing_, then, Wake::kReady}; }
 
   // Called once when the other side has closed or reset the connection; see Socket.
   void on_peer_closed(Call what) { on_peer_closed_ = std::move(what); }
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -19,8 +19,13 @@
 namespace {
 constexpr int kGoneInARow = 64;  // connections that ended before they were accepted, taken in one turn
 
+constexpr Seconds kMemoryRetry = 0.01;  // to the next try of a call for which the kernel had no memory
+
 bool would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
+// The kernel had no memory for the call; the connection stands.
+bool lacks_memory(int error) { return error == ENOBUFS || error == ENOMEM; }
+
 // Errors of a connect that arise on this machine, before anything could reach the other side (connect(2)).
 bool is_local(int error) {
   switch (error) {
@@ -108,12 +113,14 @@
 Socket::Socket(Socket&& other) noexcept
     : descriptor_(std::exchange(other.descriptor_, -1)),
       watch_(std::move(other.watch_)),
-      observer_(std::move(other.observer_)) {}
+      observer_(std::move(other.observer_)),
+      send_lacked_memory_(other.send_lacked_memory_) {}
 
 Socket& Socket::operator=(Socket&& other) noexcept {
   std::swap(descriptor_, other.descriptor_);
   std::swap(watch_, other.watch_);
   std::swap(observer_, other.observer_);
+  std::swap(send_lacked_memory_, other.send_lacked_memory_);
   return *this;
 }
 
@@ -130,7 +137,7 @@
 bool Socket::ended() const {
   char byte;
   const ssize_t count = descriptor_ < 0 ? 0 : ::recv(descriptor_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return count == 0 || (count < 0 && !would_block(errno) && errno != EINTR);
+  return count == 0 || (count < 0 && !would_block(errno) && !lacks_memory(errno) && errno != EINTR);
 }
 
 void Socket::bound_unsent(std::size_t bytes) {
@@ -167,9 +174,10 @@
     }
     if (count == 0) co_return Io{IoEnd::kEnded, 0};
     if (errno == EINTR) continue;
-    if (!would_block(errno)) co_return Io{IoEnd::kBroken, 0};
+    const Seconds retry_at = lacks_memory(errno) ? Scheduler::now() + kMemoryRetry : kNever;
+    if (!would_block(errno) && retry_at == kNever) co_return Io{IoEnd::kBroken, 0};
     into.release();
-    const Wake wake = co_await watch_->readable(until);
+    const Wake wake = co_await (retry_at < until ? watch_->readable_by(retry_at) : watch_->readable(until));
     if (wake == Wake::kTimedOut) co_return Io{IoEnd::kTimedOut, 0};
     if (wake == Wake::kClosed) co_return Io{IoEnd::kClosed, 0};
   }
@@ -180,23 +188,30 @@
   while (io.bytes < bytes.size()) {
     if (descriptor_ < 0) return {IoEnd::kClosed, io.bytes};
     const ssize_t count = ::send(descriptor_, bytes.data() + io.bytes, bytes.size() - io.bytes, MSG_NOSIGNAL);
+    send_lacked_memory_ = count < 0 && lacks_memory(errno);
     if (count >= 0) {
       io.bytes += static_cast<std::size_t>(count);
       if (observer_) observer_->has_written(static_cast<std::size_t>(count));
     } else if (errno != EINTR) {
-      return {would_block(errno) ? IoEnd::kTimedOut : IoEnd::kBroken, io.bytes};
+      const bool must_wait = would_block(errno) || send_lacked_memory_;
+      return {must_wait ? IoEnd::kTimedOut : IoEnd::kBroken, io.bytes};
     }
   }
   return io;
 }
 
+Watch::Wait Socket::writable(Seconds until) {
+  const Seconds retry_at = Scheduler::now() + kMemoryRetry;
+  return send_lacked_memory_ && retry_at < until ? watch_->writable_by(retry_at) : watch_->writable(until);
+}
+
 Task<Io> Socket::write(std::string_view bytes, Seconds until) {
   std::size_t written = 0;
   for (;;) {
     const Io io = write_now(bytes.substr(written));
     written += io.bytes;
     if (io.end != IoEnd::kTimedOut) co_return Io{io.end, written};
-    const Wake wake = co_await watch_->writable(until);
+    const Wake wake = co_await writable(until);
     if (wake == Wake::kTimedOut) co_return Io{IoEnd::kTimedOut, written};
     if (wake == Wake::kClosed) co_return Io{IoEnd::kClosed, written};
   }
--- a/src/transport/socket.hpp
+++ b/src/transport/socket.hpp
@@ -84,9 +84,10 @@
   Task<Io> read(Buffer& into, std::size_t least_room, Seconds until);
   // All of it, unless the connection ends or the time comes.
   Task<Io> write(std::string_view bytes, Seconds until);
-  // As much as goes without waiting; kTimedOut says that the rest must wait for writable().
+  // As much as goes without waiting; kTimedOut says that the rest must wait for writable(), also where the
+  // kernel had no memory for it (ENOBUFS, ENOMEM): the connection stands.
   Io write_now(std::string_view bytes);
-  auto writable(Seconds until) { return watch_->writable(until); }
+  Watch::Wait writable(Seconds until);
   // The other side has closed or reset it: bytes written now would be lost.
   bool ended() const;
   // Calls once, as soon as the other side has closed its sending side or has reset the connection, also while
@@ -107,6 +108,7 @@
   int descriptor_ = -1;
   std::unique_ptr<Watch> watch_;
   std::unique_ptr<SocketObserver> observer_;
+  bool send_lacked_memory_ = false;  // the last send did
 };
 
 // kReset: it came up, and the other side ended it at once.
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -109,7 +109,10 @@
 
 const std::vector<Fault> kPassingFaults = {{SystemCall::kEpollWait, EINTR, "epoll_wait EINTR"},
                                            {SystemCall::kRecv, EINTR, "recv EINTR"},
-                                           {SystemCall::kSend, EINTR, "send EINTR"}};
+                                           {SystemCall::kSend, EINTR, "send EINTR"},
+                                           {SystemCall::kSend, ENOBUFS, "send ENOBUFS"},
+                                           {SystemCall::kSend, ENOMEM, "send ENOMEM"},
+                                           {SystemCall::kRecv, ENOMEM, "recv ENOMEM"}};
 
 const std::vector<Fault> kBreakingFaults = {{SystemCall::kRecv, ETIMEDOUT, "recv ETIMEDOUT"},
                                             {SystemCall::kRecv, EHOSTUNREACH, "recv EHOSTUNREACH"},
