--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -278,19 +278,9 @@
   Accepted accepted;
   for (int gone = 0;;) {
     if (!socket_.open()) co_return accepted;
-    const int descriptor = ::accept4(socket_.descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (descriptor >= 0) {
-      const int on = 1;
-      setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-      try {
-        accepted.socket = Socket(scheduler_, descriptor);
-        accepted.end = End::kTaken;
-      } catch (const std::system_error& error) {  // it can't be watched
-        accepted.end = End::kTransientFailure;
-        accepted.error = error.code().value();
-      }
-      co_return accepted;
-    }
+    if (unwatched_ < 0)
+      unwatched_ = ::accept4(socket_.descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (unwatched_ >= 0) co_return watch_unwatched();
     // That one client went away before it was taken, or a signal came; what persists must not spin.
     if ((errno == ECONNABORTED || errno == EPROTO || errno == EINTR) && ++gone < kGoneInARow) continue;
     if (!would_block(errno)) {
@@ -303,6 +293,31 @@
   }
 }
 
+// Guards against a kernel that has no room for another watch (ENOMEM, ENOSPC): closed here, the connection's
+// client would be lost. Those behind it wait in the backlog until it can be watched.
+Listener::Accepted Listener::watch_unwatched() {
+  Accepted accepted;
+  try {
+    accepted.socket.watch_ = std::make_unique<Watch>(scheduler_, unwatched_);
+  } catch (const std::system_error& error) {
+    accepted.end = End::kTransientFailure;
+    accepted.error = error.code().value();
+    return accepted;
+  }
+  accepted.socket.descriptor_ = std::exchange(unwatched_, -1);
+  accepted.end = End::kTaken;
+  const int on = 1;
+  setsockopt(accepted.socket.descriptor_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  return accepted;
+}
+
+void Listener::close() {
+  socket_.close();
+  if (unwatched_ >= 0) ::close(std::exchange(unwatched_, -1));
+}
+
+Listener::~Listener() { close(); }
+
 Address Listener::address() const { return *Address::own(socket_.descriptor_); }
 
 namespace {
--- a/src/transport/socket.hpp
+++ b/src/transport/socket.hpp
@@ -127,6 +127,9 @@
 class Listener {
  public:
   Listener(Scheduler& scheduler, const Address& at, int backlog);  // throws std::system_error
+  ~Listener();
+  Listener(const Listener&) = delete;
+  Listener& operator=(const Listener&) = delete;
 
   // kDescriptorLimit: this process has no descriptor left, which closing one of its own mends.
   // kTransientFailure: the system could not for now (its table is full, no memory, the network is down); the
@@ -139,11 +142,14 @@
   };
   Task<Accepted> accept();
   Address address() const;
-  void close() { socket_.close(); }
+  void close();
 
  private:
+  Accepted watch_unwatched();
+
   Scheduler& scheduler_;
   Socket socket_;
+  int unwatched_ = -1;  // a connection that is accepted and not yet watched; the next accept tries again
 };
 
 // A UDP socket: one that sends to a single address, or one that takes what comes to its own.
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -112,7 +112,9 @@
                                            {SystemCall::kSend, EINTR, "send EINTR"},
                                            {SystemCall::kSend, ENOBUFS, "send ENOBUFS"},
                                            {SystemCall::kSend, ENOMEM, "send ENOMEM"},
-                                           {SystemCall::kRecv, ENOMEM, "recv ENOMEM"}};
+                                           {SystemCall::kRecv, ENOMEM, "recv ENOMEM"},
+                                           {SystemCall::kEpollCtl, ENOMEM, "epoll_ctl ENOMEM"},
+                                           {SystemCall::kEpollCtl, ENOSPC, "epoll_ctl ENOSPC"}};
 
 const std::vector<Fault> kBreakingFaults = {{SystemCall::kRecv, ETIMEDOUT, "recv ETIMEDOUT"},
                                             {SystemCall::kRecv, EHOSTUNREACH, "recv EHOSTUNREACH"},
