--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -26,6 +26,28 @@
 // The kernel had no memory for the call; the connection stands.
 bool lacks_memory(int error) { return error == ENOBUFS || error == ENOMEM; }
 
+// Errors that accept4 passes on from the one connection that it would have taken (accept(2), "Error
+// handling"), a firewall's refusal of it, and signals: the next connection may be taken at once.
+bool is_of_one_connection(int error) {
+  switch (error) {
+    case ECONNABORTED:
+    case EINTR:
+    case EPERM:
+    case EPROTO:
+    case ENOPROTOOPT:
+    case ENETDOWN:
+    case ENETUNREACH:
+    case ENONET:
+    case EHOSTDOWN:
+    case EHOSTUNREACH:
+    case EOPNOTSUPP:
+    case ETIMEDOUT:
+      return true;
+    default:
+      return false;
+  }
+}
+
 // Errors of a connect that arise on this machine, before anything could reach the other side (connect(2)).
 bool is_local(int error) {
   switch (error) {
@@ -281,8 +303,7 @@
     if (unwatched_ < 0)
       unwatched_ = ::accept4(socket_.descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (unwatched_ >= 0) co_return watch_unwatched();
-    // That one client went away before it was taken, or a signal came; what persists must not spin.
-    if ((errno == ECONNABORTED || errno == EPROTO || errno == EINTR) && ++gone < kGoneInARow) continue;
+    if (is_of_one_connection(errno) && ++gone < kGoneInARow) continue;  // what persists must not spin
     if (!would_block(errno)) {
       accepted.error = errno;
       accepted.end = errno == EMFILE ? End::kDescriptorLimit : End::kTransientFailure;
--- a/tests/faults/faulty_program.cpp
+++ b/tests/faults/faulty_program.cpp
@@ -164,6 +164,20 @@
   return runs_until(scheduler, [&] { return process.ended(); }) && process.status() == 0;
 }
 
+std::uint64_t FaultyProgram::counter(const std::string& name) {
+  const auto lines = [&] {
+    const std::string printed = process.printed();
+    std::size_t count = 0;
+    for (auto at = printed.find("counters "); at != std::string::npos; at = printed.find("counters ", at + 1))
+      ++count;
+    return printed.ends_with('\n') ? count : 0;
+  };
+  const std::size_t before = lines();
+  process.send(SIGUSR1);
+  REQUIRE(runs_until(scheduler, [&] { return lines() > before; }));
+  return process.counters().at(name);
+}
+
 std::uint64_t FaultyProgram::calls() const {
   std::uint64_t all = 0;
   for (std::size_t i = 0; i < kSystemCalls; ++i) all += faults.seen(static_cast<SystemCall>(i));
--- a/tests/faults/faulty_program.hpp
+++ b/tests/faults/faulty_program.hpp
@@ -47,6 +47,8 @@
   bool running() { return !process.ended(); }
   // Asks it to leave, and waits until it has; false if it does not end well.
   bool stops();
+  // One of the figures that the program prints when it is asked to.
+  std::uint64_t counter(const std::string& name);
   // The system calls of all kinds that it has made.
   std::uint64_t calls() const;
 
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -145,6 +145,17 @@
       check_in_a_row(world.program, fault);
 }
 
+TEST_CASE("an error of one connection that accept4 passes on does not pause accepting") {
+  World world;
+  FaultyProgram& program = world.program;
+  for (const int error : {ECONNABORTED, EPROTO, EPERM, ENOPROTOOPT, ENETDOWN, ENETUNREACH, ENONET, EHOSTDOWN,
+                          EHOSTUNREACH, EOPNOTSUPP, ETIMEDOUT, EINTR})
+    check_in_a_row(program, {SystemCall::kAccept4, error, std::to_string(error)});
+  CHECK(program.counter("accept_paused") == 0);
+  check_in_a_row(program, {SystemCall::kAccept4, ENFILE, "ENFILE"});
+  CHECK(program.counter("accept_paused") > 0);
+}
+
 TEST_CASE("accept4 fails for a second: no spin, and every client is served after it") {
   World world;
   for (const Fault& fault : kAcceptFaults)
