--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -19,8 +19,35 @@
 namespace {
 constexpr int kGoneInARow = 64;  // connections that ended before they were accepted, taken in one turn
 
+constexpr Seconds kMemoryRetry = 0.01;  // to the next try of a call for which the kernel had no memory
+
 bool would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
+// The kernel had no memory for the call; the connection stands.
+bool lacks_memory(int error) { return error == ENOBUFS || error == ENOMEM; }
+
+// Errors that accept4 passes on from the one connection that it would have taken (accept(2), "Error
+// handling"), a firewall's refusal of it, and signals: the next connection may be taken at once.
+bool is_of_one_connection(int error) {
+  switch (error) {
+    case ECONNABORTED:
+    case EINTR:
+    case EPERM:
+    case EPROTO:
+    case ENOPROTOOPT:
+    case ENETDOWN:
+    case ENETUNREACH:
+    case ENONET:
+    case EHOSTDOWN:
+    case EHOSTUNREACH:
+    case EOPNOTSUPP:
+    case ETIMEDOUT:
+      return true;
+    default:
+      return false;
+  }
+}
+
 // Errors of a connect that arise on this machine, before anything could reach the other side (connect(2)).
 bool is_local(int error) {
   switch (error) {
@@ -108,12 +135,14 @@
 Socket::Socket(Socket&& other) noexcept
     : descriptor_(std::exchange(other.descriptor_, -1)),
       watch_(std::move(other.watch_)),
-      observer_(std::move(other.observer_)) {}
+      observer_(std::move(other.observer_)),
+      send_lacked_memory_(other.send_lacked_memory_) {}
 
 Socket& Socket::operator=(Socket&& other) noexcept {
   std::swap(descriptor_, other.descriptor_);
   std::swap(watch_, other.watch_);
   std::swap(observer_, other.observer_);
+  std::swap(send_lacked_memory_, other.send_lacked_memory_);
   return *this;
 }
 
@@ -130,7 +159,7 @@
 bool Socket::ended() const {
   char byte;
   const ssize_t count = descriptor_ < 0 ? 0 : ::recv(descriptor_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return count == 0 || (count < 0 && !would_block(errno) && errno != EINTR);
+  return count == 0 || (count < 0 && !would_block(errno) && !lacks_memory(errno) && errno != EINTR);
 }
 
 void Socket::bound_unsent(std::size_t bytes) {
@@ -167,9 +196,10 @@
     }
     if (count == 0) co_return Io{IoEnd::kEnded, 0};
     if (errno == EINTR) continue;
-    if (!would_block(errno)) co_return Io{IoEnd::kBroken, 0};
+    const Seconds retry_at = lacks_memory(errno) ? Scheduler::now() + kMemoryRetry : kNever;
+    if (!would_block(errno) && retry_at == kNever) co_return Io{IoEnd::kBroken, 0};
     into.release();
-    const Wake wake = co_await watch_->readable(until);
+    const Wake wake = co_await (retry_at < until ? watch_->readable_by(retry_at) : watch_->readable(until));
     if (wake == Wake::kTimedOut) co_return Io{IoEnd::kTimedOut, 0};
     if (wake == Wake::kClosed) co_return Io{IoEnd::kClosed, 0};
   }
@@ -180,23 +210,30 @@
   while (io.bytes < bytes.size()) {
     if (descriptor_ < 0) return {IoEnd::kClosed, io.bytes};
     const ssize_t count = ::send(descriptor_, bytes.data() + io.bytes, bytes.size() - io.bytes, MSG_NOSIGNAL);
+    send_lacked_memory_ = count < 0 && lacks_memory(errno);
     if (count >= 0) {
       io.bytes += static_cast<std::size_t>(count);
       if (observer_) observer_->has_written(static_cast<std::size_t>(count));
     } else if (errno != EINTR) {
-      return {would_block(errno) ? IoEnd::kTimedOut : IoEnd::kBroken, io.bytes};
+      const bool must_wait = would_block(errno) || send_lacked_memory_;
+      return {must_wait ? IoEnd::kTimedOut : IoEnd::kBroken, io.bytes};
     }
   }
   return io;
 }
 
+Watch::Wait Socket::writable(Seconds until) {
+  const Seconds retry_at = Scheduler::now() + kMemoryRetry;
+  return send_lacked_memory_ && retry_at < until ? watch_->writable_by(retry_at) : watch_->writable(until);
+}
+
 Task<Io> Socket::write(std::string_view bytes, Seconds until) {
   std::size_t written = 0;
   for (;;) {
     const Io io = write_now(bytes.substr(written));
     written += io.bytes;
     if (io.end != IoEnd::kTimedOut) co_return Io{io.end, written};
-    const Wake wake = co_await watch_->writable(until);
+    const Wake wake = co_await writable(until);
     if (wake == Wake::kTimedOut) co_return Io{IoEnd::kTimedOut, written};
     if (wake == Wake::kClosed) co_return Io{IoEnd::kClosed, written};
   }
@@ -263,21 +300,10 @@
   Accepted accepted;
   for (int gone = 0;;) {
     if (!socket_.open()) co_return accepted;
-    const int descriptor = ::accept4(socket_.descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (descriptor >= 0) {
-      const int on = 1;
-      setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-      try {
-        accepted.socket = Socket(scheduler_, descriptor);
-        accepted.end = End::kTaken;
-      } catch (const std::system_error& error) {  // it can't be watched
-        accepted.end = End::kTransientFailure;
-        accepted.error = error.code().value();
-      }
-      co_return accepted;
-    }
-    // That one client went away before it was taken, or a signal came; what persists must not spin.
-    if ((errno == ECONNABORTED || errno == EPROTO || errno == EINTR) && ++gone < kGoneInARow) continue;
+    if (unwatched_ < 0)
+      unwatched_ = ::accept4(socket_.descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (unwatched_ >= 0) co_return watch_unwatched();
+    if (is_of_one_connection(errno) && ++gone < kGoneInARow) continue;  // what persists must not spin
     if (!would_block(errno)) {
       accepted.error = errno;
       accepted.end = errno == EMFILE ? End::kDescriptorLimit : End::kTransientFailure;
@@ -288,6 +314,31 @@
   }
 }
 
+// Guards against a kernel that has no room for another watch (ENOMEM, ENOSPC): closed here, the connection's
+// client would be lost. Those behind it wait in the backlog until it can be watched.
+Listener::Accepted Listener::watch_unwatched() {
+  Accepted accepted;
+  try {
+    accepted.socket.watch_ = std::make_unique<Watch>(scheduler_, unwatched_);
+  } catch (const std::system_error& error) {
+    accepted.end = End::kTransientFailure;
+    accepted.error = error.code().value();
+    return accepted;
+  }
+  accepted.socket.descriptor_ = std::exchange(unwatched_, -1);
+  accepted.end = End::kTaken;
+  const int on = 1;
+  setsockopt(accepted.socket.descriptor_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  return accepted;
+}
+
+void Listener::close() {
+  socket_.close();
+  if (unwatched_ >= 0) ::close(std::exchange(unwatched_, -1));
+}
+
+Listener::~Listener() { close(); }
+
 Address Listener::address() const { return *Address::own(socket_.descriptor_); }
 
 namespace {
--- a/src/transport/socket.hpp
+++ b/src/transport/socket.hpp
@@ -84,9 +84,10 @@
   Task<Io> read(Buffer& into, std::size_t least_room, Seconds until);
   // All of it, unless the connection ends or the time comes.
   Task<Io> write(std::string_view bytes, Seconds until);
-  // As much as goes without waiting; kTimedOut says that the rest must wait for writable().
+  // As much as goes without waiting; kTimedOut says that the rest must wait for writable(), also where the
+  // kernel had no memory for it (ENOBUFS, ENOMEM): the connection stands.
   Io write_now(std::string_view bytes);
-  auto writable(Seconds until) { return watch_->writable(until); }
+  Watch::Wait writable(Seconds until);
   // The other side has closed or reset it: bytes written now would be lost.
   bool ended() const;
   // Calls once, as soon as the other side has closed its sending side or has reset the connection, also while
@@ -107,6 +108,7 @@
   int descriptor_ = -1;
   std::unique_ptr<Watch> watch_;
   std::unique_ptr<SocketObserver> observer_;
+  bool send_lacked_memory_ = false;  // the last send did
 };
 
 // kReset: it came up, and the other side ended it at once.
@@ -125,6 +127,9 @@
 class Listener {
  public:
   Listener(Scheduler& scheduler, const Address& at, int backlog);  // throws std::system_error
+  ~Listener();
+  Listener(const Listener&) = delete;
+  Listener& operator=(const Listener&) = delete;
 
   // kDescriptorLimit: this process has no descriptor left, which closing one of its own mends.
   // kTransientFailure: the system could not for now (its table is full, no memory, the network is down); the
@@ -137,11 +142,14 @@
   };
   Task<Accepted> accept();
   Address address() const;
-  void close() { socket_.close(); }
+  void close();
 
  private:
+  Accepted watch_unwatched();
+
   Scheduler& scheduler_;
   Socket socket_;
+  int unwatched_ = -1;  // a connection that is accepted and not yet watched; the next accept tries again
 };
 
 // A UDP socket: one that sends to a single address, or one that takes what comes to its own.
