--- a/src/routing/front.cpp
+++ b/src/routing/front.cpp
@@ -26,6 +26,18 @@
 // before fits in here and into what is read ahead: behind more, the end itself waits at the client.
 constexpr int kUnreadRoom = 256 << 10;
 
+// Clients amid their first request that are refused at once to make room for one. What each was sent has to
+// reach it before its descriptor is free, which takes a way there and back.
+constexpr std::size_t kRefusedTogether = 8;
+
+// Final answers that are written where there is no memory, or no time, for others.
+// Nothing of the request has run: it may be sent again.
+constexpr std::string_view kRejectedAnswer =
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+// It may have run.
+constexpr std::string_view kFailedAnswer =
+    "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+
 template <class Number>
 bool read_number(std::string_view text, Number& value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -63,6 +75,10 @@
     discarded += static_cast<std::size_t>(count);
   }
 }
+bool has_unread(const transport::Socket& socket) {
+  char byte;
+  return ::recv(socket.descriptor(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) > 0;
+}
 bool is_id(std::string_view text) {
   return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
 }
@@ -108,18 +124,37 @@
       ++self.counters_.accept_paused;
       co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_again);
     }
-    ++self.counters_.clients_accepted;
-    const auto client = std::make_shared<Client>(self, std::move(accepted.socket));
-    self.clients_.push_back(client);
+    self.admit(std::move(accepted.socket));
+  }
+}
+
+// Where there is no memory for it, the connection is closed unread.
+void Front::admit(transport::Socket socket) {
+  try {
+    const auto client = std::make_shared<Client>(*this, std::move(socket));
+    clients_.push_back(client);
+    ++counters_.clients_accepted;
     client->start();
+  } catch (...) {
+    report(std::current_exception());
   }
 }
 
 // Guards against connections that are kept open and not used while others wait to be accepted, and against
 // floods of those that say nothing or never a whole request: who goes first is decided by what a connection
 // has shown, and among the same by how long ago. It hurts a client that asks in that very moment, and has to
-// ask again.
+// ask again; one of whose request something was read is answered 503 first. True: there is room now; where
+// there is none, it may be soon.
 bool Front::make_room() {
+  for (std::size_t refused = 0; refused < kRefusedTogether; ++refused) {
+    const auto client = next_to_go();
+    if (!client) return false;
+    if (client->make_way()) return true;
+  }
+  return false;
+}
+
+std::shared_ptr<Client> Front::next_to_go() const {
   using Standing = Client::Standing;
   std::shared_ptr<Client> first;
   Standing lowest = Standing::kStays;
@@ -128,10 +163,11 @@
     const Standing standing = client->standing(now);
     if (standing > lowest || standing == Standing::kStays) continue;
     if (standing == lowest && first && client->idle_since() >= first->idle_since()) continue;
-    first = client, lowest = standing;
+    if (!client->may_go()) continue;
+    first = client;
+    lowest = standing;
   }
-  if (first) first->close_unless_busy();
-  return first != nullptr;
+  return first;
 }
 
 void Front::close() {
@@ -140,6 +176,13 @@
   for (const auto& client : clients) client->close_unless_busy();
 }
 
+void Front::report(const std::exception_ptr& failure) noexcept {
+  try {
+    if (scheduler_.on_failure) scheduler_.on_failure(failure);
+  } catch (...) {  // nobody is left to be told
+  }
+}
+
 void Front::ended(Client& client) {
   ++counters_.clients_closed;
   clients_.remove_if([&](const auto& held) { return held.get() == &client; });
@@ -150,10 +193,14 @@
   if (closing_) return Standing::kLingering;
   // The first request of a client that means well is on its way when it connects, as the next may be now.
   if (now - moved_at_ < front_.limits_.first_request) return Standing::kStays;
-  if (!shown_) return Standing::kShownNothing;
+  if (!shown_) return parser_.begun() ? Standing::kShownPart : Standing::kShownNothing;
   return parser_.begun() || in_.size() > 0 ? Standing::kStays : Standing::kIdle;
 }
 
+bool Client::may_go() const { return socket_.unacknowledged() == 0 && !has_request_unread(); }
+
+bool Client::has_request_unread() const { return !closing_ && !parser_.begun() && has_unread(socket_); }
+
 Client::Client(Front& front, transport::Socket socket)
     : front_(front),
       socket_(std::move(socket)),
@@ -179,8 +226,13 @@
   socket_.on_peer_closed([weak = weak_from_this()] {
     if (const auto client = weak.lock()) client->leave();
   });
-  front_.scheduler_.spawn(live(shared_from_this()));
-  front_.scheduler_.spawn(read(shared_from_this()));
+  try {
+    front_.scheduler_.spawn(live(shared_from_this()));
+    front_.scheduler_.spawn(read(shared_from_this()));
+  } catch (...) {  // no memory: it goes unread
+    leave();
+    throw;
+  }
 }
 
 Task<> Client::live(std::shared_ptr<Client> self) { co_await self->mailbox_.serve(); }
@@ -188,11 +240,23 @@
 // --- reading ---
 
 Task<> Client::read(std::shared_ptr<Client> self) {
-  try {
-    co_await self->read_on();
-  } catch (...) {  // the connection goes, and the loop tells of it
-    self->leave();
-    throw;
+  for (bool failed = true; failed && !self->ended_;) {
+    failed = false;
+    try {
+      co_await self->read_on();
+    } catch (...) {
+      failed = true;
+      self->front_.report(std::current_exception());
+    }
+    if (!failed || self->ended_) break;
+    if (self->busy_)
+      co_await self->resumed_.wait();  // the open request keeps its answer; what follows is read after it
+    else if (self->closing_)
+      break;
+    else if (self->parser_.begun() || has_unread(self->socket_))
+      self->answer_at_once(kRejectedAnswer);
+    else
+      self->finish();
   }
   self->leave();
 }
@@ -204,20 +268,22 @@
       co_await resumed_.wait();
       continue;
     }
-    const Seconds patience = closing_ && !busy_           ? limits.linger
-                             : parser_.begun() || !shown_ ? limits.request_whole
-                                                          : limits.client_idle;
-    const Io io = co_await socket_.read(in_, limits.read_room, moved_at_ + patience);
+    const bool lingers = closing_ && !busy_;
+    const Seconds patience = parser_.begun() || !shown_ ? limits.request_whole : limits.client_idle;
+    const Io io =
+        co_await socket_.read(in_, limits.read_room, lingers ? linger_until_ : moved_at_ + patience);
     if (ended_) break;
     if (io.end == IoEnd::kTimedOut) {
       if (busy_) {
         moved_at_ = Scheduler::now();
+      } else if (closing_) {
+        if (Scheduler::now() >= linger_until_) break;
       } else if (Scheduler::now() < moved_at_ + patience) {
         continue;  // something was answered meanwhile
-      } else if (!closing_ && parser_.begun()) {
+      } else if (parser_.begun()) {
         refuse(408);
-      } else {
-        break;
+      } else if (!has_unread(socket_)) {
+        finish();
       }
       continue;
     }
@@ -230,8 +296,17 @@
   }
 }
 
-// Reads on in what has come in. Stops at a whole request, until that is answered.
 void Client::advance() {
+  try {
+    read_requests();
+  } catch (...) {  // no memory for the request
+    front_.report(std::current_exception());
+    answer_at_once(kRejectedAnswer);
+  }
+}
+
+// Reads on in what has come in. Stops at a whole request, until that is answered.
+void Client::read_requests() {
   if (closing_ && !busy_) in_.consume(in_.size());  // nothing that follows counts
   while (!busy_ && !closing_ && !ended_ && in_.size() > 0) {
     std::size_t used = 0;
@@ -373,18 +448,37 @@
                                                                  front_.scheduler_.late());
   request_ = {std::move(http_request_.id)};
   wording_ = wording;
-  owed_ = true;
   front_.module_.request_arrived(request_, {static_cast<int>(place)}, object, part, {http_request_.family},
                                  hard_stop, http_request_.size_kb, http_request_.resent, http_request_.put,
                                  std::move(wording), weak_from_this());
+  owed_ = true;  // the module has it; its answer comes by the mailbox, later
   return true;
 }
 
 // --- answers ---
 
+template <class Work>
+void Client::post_answer(const RequestId& request, std::string_view without_memory, Work work) {
+  try {
+    mailbox_.post([this, request, without_memory, work = std::move(work)]() mutable {
+      try {
+        if (owed_ && request == request_) work();
+      } catch (...) {
+        answer_without_memory(request, without_memory);
+      }
+    });
+  } catch (...) {
+    answer_without_memory(request, without_memory);
+  }
+}
+
+void Client::answer_without_memory(const RequestId& request, std::string_view text) {
+  front_.report(std::current_exception());
+  if (owed_ && request == request_) answer_at_once(text);
+}
+
 void Client::completed(const RequestId& request, Content content) {
-  mailbox_.post([this, request, content = std::move(content)]() mutable {
-    if (!owed_ || request != request_) return;
+  post_answer(request, kFailedAnswer, [this, content = std::move(content)]() mutable {
     std::string more;
     if (!content.tag.empty()) more = "ETag: \"" + content.tag + "\"\r\n";
     answer(content.same_copy ? 304 : 200, std::move(more), std::move(content.bytes),
@@ -393,8 +487,7 @@
 }
 
 void Client::bounced(const RequestId& request, Seconds come_back_in) {
-  mailbox_.post([this, request, come_back_in] {
-    if (!owed_ || request != request_) return;
+  post_answer(request, kRejectedAnswer, [this, come_back_in] {
     std::string more;
     const auto pause = static_cast<long long>(std::ceil(come_back_in * 1000));
     if (pause > 0) more = "X-Pushback-Ms: " + std::to_string(pause) + "\r\n";
@@ -403,9 +496,7 @@
 }
 
 void Client::forfeited(const RequestId& request) {
-  mailbox_.post([this, request] {
-    if (owed_ && request == request_) answer(500, "", "", ipfix::Outcome::kForfeited);
-  });
+  post_answer(request, kFailedAnswer, [this] { answer(500, "", "", ipfix::Outcome::kForfeited); });
 }
 
 // A request that can't be read: a plain answer, and nothing that follows on the connection counts.
@@ -430,6 +521,17 @@
 }
 
 void Client::answer(int status, std::string more, std::string bytes, ipfix::Outcome outcome, Note note) {
+  try {
+    begin_answer(status, more, std::move(bytes), outcome, note);
+  } catch (...) {  // no memory for it
+    front_.report(std::current_exception());
+    const bool may_have_run = outcome == ipfix::Outcome::kCompleted || outcome == ipfix::Outcome::kForfeited;
+    answer_at_once(may_have_run ? kFailedAnswer : kRejectedAnswer);
+  }
+}
+
+void Client::begin_answer(int status, std::string_view more, std::string bytes, ipfix::Outcome outcome,
+                          Note note) {
   owed_ = false;
   wording_.reset();
   label(outcome, note);
@@ -439,16 +541,71 @@
   front_.scheduler_.spawn(write(shared_from_this(), std::move(head), std::move(bytes)));
 }
 
+// Ends the request in work and the connection with a final answer, without a need for memory. What is read
+// ahead of further requests goes with it: the answer says that the connection closes.
+void Client::answer_at_once(std::string_view text) {
+  if (ended_) return;
+  if (wording_) wording_->client_gone = true;  // the module may have it, or not
+  wording_.reset();
+  owed_ = false;
+  in_.consume(in_.size());
+  if (!socket_.write_now(text).ok()) return leave();
+  finish();
+  resumed_.notify();
+}
+
+// Nothing more is sent; what was is waited for until it has reached the client. What the client still sends
+// is read and thrown away: a close over unread bytes would reset the connection, and destroy an answer on its
+// way.
+void Client::finish() {
+  busy_ = false;
+  keep_ = false;
+  closing_ = true;
+  moved_at_ = Scheduler::now();
+  linger_until_ = moved_at_ + front_.limits_.linger_most;
+  socket_.finish();
+  try {
+    watch_linger();
+  } catch (...) {
+    front_.report(std::current_exception());
+    leave();
+  }
+}
+
+void Client::watch_linger() {
+  const Seconds due = std::min(linger_until_, std::max(moved_at_, Scheduler::now()) + front_.limits_.linger);
+  front_.scheduler_.at(due, [weak = weak_from_this()] {
+    if (const auto client = weak.lock()) client->end_linger();
+  });
+}
+
+void Client::end_linger() {
+  if (ended_) return;
+  const Seconds now = Scheduler::now();
+  const bool silent = now >= moved_at_ + front_.limits_.linger;
+  if (now >= linger_until_ || (silent && socket_.unacknowledged() == 0)) return leave();
+  watch_linger();
+}
+
 Task<> Client::write(std::shared_ptr<Client> self, std::string head, std::string bytes) {
   const Seconds until = Scheduler::now() + self->front_.limits_.answer_taken;
   const std::size_t size = bytes.size();
-  self->front_.waiting_answers_ += size;
-  head += bytes;  // one write: a client that reads the head finds the body with it
-  bytes = std::string();
-  Io io{IoEnd::kBroken, 0};
   try {
-    io = co_await self->socket_.write(head, until);
-  } catch (...) {  // as a connection that broke: the client can tell
+    head += bytes;  // one write: a client that reads the head finds the body with it
+  } catch (...) {
+    self->front_.report(std::current_exception());
+    self->answer_at_once(kFailedAnswer);
+    co_return;
+  }
+  bytes = std::string();
+  self->front_.waiting_answers_ += size;
+  Io io = self->socket_.write_now(head);
+  if (io.end == IoEnd::kTimedOut) {
+    try {
+      io = co_await self->socket_.write(std::string_view(head).substr(io.bytes), until);
+    } catch (...) {  // as a connection that broke: the client can tell
+      io.end = IoEnd::kBroken;
+    }
   }
   self->front_.waiting_answers_ -= size;
   if (self->ended_) co_return;
@@ -462,30 +619,41 @@
   }
   self->moved_at_ = Scheduler::now();
   self->busy_ = false;
-  if (self->closing_) {
-    // The client reads what it was sent before it sees the end, and is not waited for long.
-    self->linger_until_ = self->moved_at_ + self->front_.limits_.linger_most;
-    self->socket_.finish();
-    self->front_.scheduler_.at(self->linger_until_, [weak = self->weak_from_this()] {
-      if (const auto client = weak.lock()) client->leave();
-    });
-  }
+  if (self->closing_) self->finish();  // the client reads what it was sent before it sees the end
   self->advance();
   self->resumed_.notify();
 }
 
+bool Client::make_way() {
+  if (!closing_ && parser_.begun()) answer_at_once(kRejectedAnswer);
+  if (ended_) return true;
+  if (closing_ && socket_.unacknowledged() > 0) return false;
+  leave();
+  return true;
+}
+
 void Client::close_unless_busy() {
-  if (!busy_) leave();
+  if (busy_ || closing_ || has_request_unread()) return;
+  if (parser_.begun())
+    answer_at_once(kRejectedAnswer);
+  else
+    finish();
 }
 
 void Client::leave() {
   if (std::exchange(ended_, true)) return;
+  const auto self = shared_from_this();
   if (wording_) wording_->client_gone = true;  // at once, ahead of what is posted to the module
-  if (owed_) label(ipfix::Outcome::kLeft, Note::kNone);
+  const bool owed = std::exchange(owed_, false);
+  try {
+    if (owed) label(ipfix::Outcome::kLeft, Note::kNone);
+    if (owed) front_.module_.request_left(request_);
+  } catch (...) {  // no memory: the request ends by its deadline, unheard
+    front_.report(std::current_exception());
+  }
   tap_ = nullptr;  // goes with the socket
   discard_unread(socket_);
   socket_.close();
-  if (std::exchange(owed_, false)) front_.module_.request_left(request_);
   resumed_.notify();
   mailbox_.close();
   front_.ended(*this);
--- a/src/routing/front.hpp
+++ b/src/routing/front.hpp
@@ -1,6 +1,7 @@
 // The clients' side: takes connections, reads requests from them, and writes each request's one answer.
 #pragma once
 
+#include <exception>
 #include <list>
 #include <memory>
 #include <string>
@@ -32,14 +33,19 @@
 
   void start();
   transport::Address address() const { return listener_.address(); }
-  // No new connections, and an end to those on which no request is being answered.
+  // No new connections, and an end to those on which no request is open; one of which a part was read is
+  // answered 503 first. Called again until no client is left: others end once their requests are answered.
   void close();
   std::size_t clients() const { return clients_.size(); }
 
  private:
   friend class Client;
   static transport::Task<> live(Front& self);
+  void admit(transport::Socket socket);
   bool make_room();
+  std::shared_ptr<Client> next_to_go() const;
+  // Tells of a failure that was dealt with.
+  void report(const std::exception_ptr& failure) noexcept;
   void ended(Client& client);
 
   transport::Scheduler& scheduler_;
@@ -65,9 +71,15 @@
   void forfeited(const RequestId& request) override;
 
   // Who goes first when there is no room: the lower, the sooner; kStays for none of these.
-  enum class Standing { kLingering, kShownNothing, kIdle, kStays };
+  enum class Standing { kLingering, kShownNothing, kShownPart, kIdle, kStays };
   Standing standing(Seconds now) const;
   Seconds idle_since() const { return moved_at_; }
+  // What it was sent has reached it, and no request has come of which nothing is read yet.
+  bool may_go() const;
+  // Ends the connection, on which no request is open, for another one; what was read of a request is answered
+  // 503. True: its descriptor is free. False: it will be once the client has got its answer.
+  bool make_way();
+  // Ends the connection unless a request is open or about to be read.
   void close_unless_busy();
 
  private:
@@ -85,11 +97,22 @@
   void body(std::string_view piece) override;
 
   void advance();
+  void read_requests();
   void serve();
   bool serve_request();
   void refuse(int status);
   void answer(int status, std::string more, std::string bytes, ipfix::Outcome outcome = ipfix::Outcome::kNone,
               Note note = Note::kNone);
+  void begin_answer(int status, std::string_view more, std::string bytes, ipfix::Outcome outcome, Note note);
+  // What the module answers; without_memory is sent where there is none for that.
+  template <class Work>
+  void post_answer(const RequestId& request, std::string_view without_memory, Work work);
+  void answer_without_memory(const RequestId& request, std::string_view text);
+  bool has_request_unread() const;
+  void answer_at_once(std::string_view text);
+  void finish();
+  void watch_linger();
+  void end_linger();
   // For flow records: what was read for this request, and what will be written for it, belong to its label.
   void label(ipfix::Outcome outcome, Note note);
   void leave();
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -2,7 +2,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <array>
+#include <cstdlib>
+#include <new>
 #include <optional>
 
 #include "helpers.hpp"
@@ -16,6 +19,36 @@
 
 namespace {
 
+// Allocations of sizes from least to most bytes fail as long as such a window stands.
+std::size_t failing_least = 1, failing_most = 0;
+
+class FailingAllocations {
+ public:
+  FailingAllocations(std::size_t least, std::size_t most) {
+    failing_least = least;
+    failing_most = most;
+  }
+  ~FailingAllocations() {
+    failing_least = 1;
+    failing_most = 0;
+  }
+  FailingAllocations(const FailingAllocations&) = delete;
+  FailingAllocations& operator=(const FailingAllocations&) = delete;
+};
+
+}  // namespace
+
+[[gnu::noinline]] void* operator new(std::size_t size) {
+  if (size >= failing_least && size <= failing_most) throw std::bad_alloc();
+  void* const memory = std::malloc(std::max<std::size_t>(size, 1));
+  if (!memory) throw std::bad_alloc();
+  return memory;
+}
+[[gnu::noinline]] void operator delete(void* memory) noexcept { std::free(memory); }
+[[gnu::noinline]] void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
+
+namespace {
+
 const std::string kAbsent = "NOENT why=absent 0\r\n";  // an answer after which another node is asked
 const std::string kId1 = "0000000000000001", kId2 = "0000000000000002", kId3 = "0000000000000003";
 
@@ -66,12 +99,23 @@
       const ssize_t count = ::recv(descriptor_, room.data(), room.size(), MSG_DONTWAIT);
       if (count > 0) heard_.append(room.data(), static_cast<std::size_t>(count));
       if (count == 0) ended_ = true;
-      if (count < 0 && errno == ECONNRESET) was_reset_ = true;
-      if (count <= 0) return heard_;
+      if (count < 0 && errno != EAGAIN) was_reset_ = true;
+      if (count > 0) continue;
+      int error = 0;  // a reset that came after the end
+      socklen_t size = sizeof error;
+      getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &error, &size);
+      was_reset_ = was_reset_ || error != 0;
+      return heard_;
     }
   }
-  bool ended() { return heard(), ended_; }
-  bool was_reset() { return heard(), was_reset_; }
+  bool ended() {
+    heard();
+    return ended_;
+  }
+  bool was_reset() {
+    heard();
+    return was_reset_;
+  }
 
  private:
   int descriptor_;
@@ -320,3 +364,157 @@
     CHECK(director.attempts_heard(kId1) == heard_before);
   }
 }
+
+// --- connections that the director closes ---
+
+namespace {
+
+// The client got this status and then the end of the connection, and was not reset.
+void check_answered_and_ended(TestDirector& director, PlainClient& client, const std::string& status) {
+  director.until([&] { return client.ended() || client.was_reset(); });
+  CHECK(client.heard().starts_with("HTTP/1.1 " + status));
+  CHECK_FALSE(client.was_reset());
+}
+
+}  // namespace
+
+TEST_CASE("a request of which a part was read is answered before its connection is closed") {
+  struct Path {
+    const char* name;
+    const char* status;
+    std::function<void(Limits&)> change;
+    std::function<void(TestDirector&)> close;
+  };
+  std::optional<PlainClient> other;
+  const Path kPaths[] = {
+      {"time-out", "408", [](Limits& limits) { limits.request_whole = 0.05; }, [](TestDirector&) {}},
+      {"room for another client", "503",
+       [](Limits& limits) {
+         limits.clients = 1;
+         limits.first_request = 0;
+       },
+       [&](TestDirector& director) { other.emplace(director.front->address()); }},
+      {"the end of a drain", "503", [](Limits&) {}, [](TestDirector& director) { director.front->close(); }},
+  };
+  for (const Path& path : kPaths) {
+    CAPTURE(path.name);
+    TestDirector director(path.change);
+    PlainClient client(director.front->address());
+    client.send("GET /_health HTTP/1.1\r\n");
+    director.until([&] { return director.front->clients() == 1; });
+    const Seconds read_by = Scheduler::now() + 0.01;
+    director.until([&] { return Scheduler::now() > read_by; });
+    path.close(director);
+    check_answered_and_ended(director, client, path.status);
+    other.reset();
+  }
+}
+
+TEST_CASE("a request that crosses the end of a drain, unread, is served; an idle connection just ends") {
+  TestDirector director;
+  PlainClient asks(director.front->address()), idle(director.front->address());
+  director.until([&] { return director.front->clients() == 2; });
+  asks.send(get(kId1));
+  director.front->close();
+  director.until_attempts(kId1, 1);
+  director.nodes_answer(kId1, "ACK - 2\r\nok");
+  director.until([&] { return asks.heard().ends_with("ok"); });
+  director.front->close();
+  director.until([&] { return asks.ended() && idle.ended(); });
+  CHECK(idle.heard().empty());
+  CHECK_FALSE(idle.was_reset());
+}
+
+TEST_CASE("the end of a drain does not reset an answer on its way to a client that still sends") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  client.send("nonsense\r\n\r\n");
+  director.until([&] { return director.counters.clients_bad == 1; });
+  client.send(std::string(100000, 'x'));
+  director.front->close();
+  client.send(std::string(100000, 'x'));
+  check_answered_and_ended(director, client, "400");
+}
+
+TEST_CASE("a request that crosses the idle time-out, unread, is served") {
+  bool crossed = false;
+  for (int tries = 0; tries < 20 && !crossed; ++tries) {
+    TestDirector director([](Limits& limits) { limits.client_idle = 0.2; });
+    PlainClient client(director.front->address());
+    client.send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
+    director.until([&] { return client.heard().ends_with("ok\n"); });
+    const Seconds answered = Scheduler::now();
+    // One turn goes past the time-out; in the next the request comes before it, after the sockets were heard.
+    director.scheduler.at(answered + 0.1, [] { usleep(200000); });
+    bool sent = false;
+    director.scheduler.at(answered + 0.11, [&] {
+      crossed = !client.ended();
+      client.send(get(kId1));
+      sent = true;
+    });
+    director.until([&] { return sent; });
+    if (!crossed) continue;  // a machine so busy that the time-out came before
+    director.until(
+        [&] { return director.attempts_heard(kId1) == 1 || client.ended() || client.was_reset(); });
+    CHECK(director.attempts_heard(kId1) == 1);
+  }
+  CHECK(crossed);
+}
+
+TEST_CASE("no memory for a request that is read: it is rejected, and harmless to repeat") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  std::string request = put(kId1);
+  request.replace(request.find("Content-Length: 2\r\n\r\nab"), std::string::npos,
+                  "Content-Length: 40000\r\n\r\n" + std::string(40000, 'b'));
+  client.send(request);
+  {
+    const FailingAllocations fails(20000, 60000);
+    director.until([&] { return client.ended() || client.was_reset(); });
+  }
+  check_answered_and_ended(director, client, "503");
+  CHECK(director.failures > 0);
+  CHECK(director.counters.attempts == 0);
+}
+
+TEST_CASE("no memory to read ahead: the open request gets its answer, and the next ones are read after it") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  client.send(get(kId1));
+  director.until_attempts(kId1, 1);
+  {
+    const std::string requests = pipelined(24 << 10);
+    const FailingAllocations fails(17000, 60000);
+    client.send(requests);
+    director.until([&] { return director.failures > 0; });
+    director.nodes_answer(kId1, "ACK - 3\r\none");
+    director.until([&] { return client.heard().ends_with("one") || client.ended() || client.was_reset(); });
+  }
+  CHECK(client.heard().ends_with("one"));
+  director.until_attempts("0000000000001000", 1);
+}
+
+TEST_CASE("no memory for an answer: a final answer that says so") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  client.send(get(kId1));
+  director.until_attempts(kId1, 1);
+  director.nodes_answer(kId1, "ACK - 40000\r\n" + std::string(40000, 'x'));
+  // The node's bytes fit, head and bytes together do not.
+  const FailingAllocations fails(40040, 40060);
+  check_answered_and_ended(director, client, "500");
+  CHECK(director.failures == 1);
+}
+
+TEST_CASE("no memory for a new client: it is closed unread, and the next one is served") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  {
+    const FailingAllocations fails(sizeof(Client), sizeof(Client) + 64);
+    director.until([&] { return director.failures > 0; });
+  }
+  director.until([&] { return client.ended() || client.was_reset(); });
+  PlainClient next(director.front->address());
+  next.send(get(kId1));
+  director.until_attempts(kId1, 1);
+}
