--- a/src/routing/front.cpp
+++ b/src/routing/front.cpp
@@ -30,6 +30,10 @@
 // reach it before its descriptor is free, which takes a way there and back.
 constexpr std::size_t kRefusedTogether = 8;
 
+// Between an accept that failed and the next one: 2 ms, doubled with each further failure up to 0.256 s.
+constexpr Seconds kAcceptPause = 0.002;
+constexpr int kAcceptPauseDoublings = 7;
+
 // Final answers that are written where there is no memory, or no time, for others.
 // Nothing of the request has run: it may be sent again.
 constexpr std::string_view kRejectedAnswer =
@@ -103,19 +107,20 @@
 // backlog.
 Task<> Front::live(Front& self) {
   for (;;) {
-    auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end == transport::Listener::End::kDescriptorLimit) {
-      ++self.counters_.accept_paused;
-      if (self.make_room()) continue;
-      co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.linger);
-      continue;
+    transport::Listener::Accepted accepted;
+    try {
+      accepted = co_await self.listener_.accept();
+    } catch (...) {  // no memory for the call
+      self.report(std::current_exception());
+      accepted.end = transport::Listener::End::kTransientFailure;
     }
-    if (accepted.end == transport::Listener::End::kTransientFailure) {
-      ++self.counters_.accept_paused;
-      co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_again);
+    if (accepted.end == transport::Listener::End::kClosed) co_return;
+    if (accepted.end != transport::Listener::End::kTaken) {
+      const Seconds pause = self.pause_after(accepted.end);
+      if (pause > 0) co_await self.scheduler_.sleep_until(Scheduler::now() + pause);
       continue;
     }
+    self.accept_failures_ = 0;
     if (self.clients_.size() >= self.limits_.clients) {
       // Whoever has closed already, or has just asked for something, is heard of first.
       co_await self.scheduler_.sleep_until(Scheduler::now());
@@ -128,6 +133,18 @@
   }
 }
 
+// Guards against accepts that fail: most do so for a moment, and the pause before the next one is short; one
+// that goes on failing must not keep the loop busy. Only a lack of descriptors is mended by closing a client,
+// and then only where it outlasts the first pause: at every other failure at most one goes.
+Seconds Front::pause_after(transport::Listener::End failure) {
+  ++counters_.accept_paused;
+  ++accept_failures_;
+  const bool lacks_descriptors = failure == transport::Listener::End::kDescriptorLimit;
+  if (lacks_descriptors && accept_failures_ % 2 == 0 && make_room()) return 0;
+  const int doublings = std::min(accept_failures_ - 1, kAcceptPauseDoublings);
+  return kAcceptPause * (1 << doublings);
+}
+
 // Where there is no memory for it, the connection is closed unread.
 void Front::admit(transport::Socket socket) {
   try {
--- a/src/routing/front.hpp
+++ b/src/routing/front.hpp
@@ -41,6 +41,8 @@
  private:
   friend class Client;
   static transport::Task<> live(Front& self);
+  // After an accept that failed: how long to wait before the next one.
+  Seconds pause_after(transport::Listener::End failure);
   void admit(transport::Socket socket);
   bool make_room();
   std::shared_ptr<Client> next_to_go() const;
@@ -57,6 +59,7 @@
   flow::Exporter* const flows_;  // null: flows are not exported
   std::list<std::shared_ptr<Client>> clients_;
   std::size_t waiting_answers_ = 0;  // bytes
+  int accept_failures_ = 0;          // in a row
 };
 
 // One connection. Requests on it are answered in order, one open at a time; what is pipelined behind waits in
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -1,10 +1,13 @@
 // A client's connection through its ends: the client closes or resets it, or the director has to close it.
 #include <sys/socket.h>
+#include <sys/syscall.h>
 #include <unistd.h>
 
 #include <algorithm>
 #include <array>
+#include <cerrno>
 #include <cstdlib>
+#include <list>
 #include <new>
 #include <optional>
 
@@ -19,6 +22,21 @@
 
 namespace {
 
+// So many of the next calls of accept4 fail with this error.
+int accepts_to_fail = 0, accept_error = 0, accepts_failed = 0;
+
+class FailingAccepts {
+ public:
+  FailingAccepts(int count, int error) {
+    accepts_to_fail = count;
+    accept_error = error;
+    accepts_failed = 0;
+  }
+  ~FailingAccepts() { accepts_to_fail = 0; }
+  FailingAccepts(const FailingAccepts&) = delete;
+  FailingAccepts& operator=(const FailingAccepts&) = delete;
+};
+
 // Allocations of sizes from least to most bytes fail as long as such a window stands.
 std::size_t failing_least = 1, failing_most = 0;
 
@@ -38,12 +56,25 @@
 
 }  // namespace
 
+extern "C" int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
+  if (accepts_to_fail > 0) {
+    --accepts_to_fail;
+    ++accepts_failed;
+    errno = accept_error;
+    return -1;
+  }
+  return static_cast<int>(syscall(SYS_accept4, descriptor, address, size, flags));
+}
+
 [[gnu::noinline]] void* operator new(std::size_t size) {
   if (size >= failing_least && size <= failing_most) throw std::bad_alloc();
   void* const memory = std::malloc(std::max<std::size_t>(size, 1));
   if (!memory) throw std::bad_alloc();
   return memory;
 }
+[[gnu::noinline]] void* operator new[](std::size_t size) { return ::operator new(size); }
+[[gnu::noinline]] void operator delete[](void* memory) noexcept { std::free(memory); }
+[[gnu::noinline]] void operator delete[](void* memory, std::size_t) noexcept { std::free(memory); }
 [[gnu::noinline]] void operator delete(void* memory) noexcept { std::free(memory); }
 [[gnu::noinline]] void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
 
@@ -139,6 +170,7 @@
     const auto nothing = *protocol::Json::parse("{}");
     limits = program::fill_limits(nothing, nothing);
     limits.client_idle = 15;
+    limits.request_whole = 15;
     limits.link_doubt = 15;
     limits.link_stall = 15;
     limits.hold_back = 0;
@@ -518,3 +550,99 @@
   next.send(get(kId1));
   director.until_attempts(kId1, 1);
 }
+
+// --- accepts that fail ---
+
+TEST_CASE("accepts that fail for a moment: a short pause, no client is closed, and all are served") {
+  for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, ENETDOWN, EPERM}) {
+    CAPTURE(error);
+    // A pause by these limits would outlast the test.
+    TestDirector director([](Limits& limits) {
+      limits.first_request = 0;
+      limits.linger = 100;
+      limits.linger_most = 100;
+      limits.accept_again = 100;
+    });
+    PlainClient idle(director.front->address());
+    director.until([&] { return director.front->clients() == 1; });
+    const FailingAccepts fails(error == EMFILE ? 1 : 4, error);
+    PlainClient asks(director.front->address());
+    asks.send(get(kId1));
+    director.until_attempts(kId1, 1);
+    CHECK(accepts_to_fail == 0);
+    CHECK(director.counters.accept_paused == static_cast<std::uint64_t>(accepts_failed));
+    CHECK_FALSE(idle.ended());
+    CHECK(director.front->clients() == 2);
+  }
+}
+
+TEST_CASE("accepts that go on failing: ever longer pauses, and few clients are closed") {
+  constexpr std::size_t kIdle = 20;
+  constexpr int kMany = 1000000;
+  for (const int error : {EMFILE, ENOBUFS}) {
+    CAPTURE(error);
+    TestDirector director([](Limits& limits) { limits.first_request = 0; });
+    std::list<PlainClient> idle;
+    while (idle.size() < kIdle) idle.emplace_back(director.front->address());
+    director.until([&] { return director.front->clients() == kIdle; });
+    const FailingAccepts fails(kMany, error);
+    PlainClient waits(director.front->address());
+    const Seconds start = Scheduler::now();
+    director.until([&] { return Scheduler::now() > start + 0.5; });
+    // 2 ms doubled: 8 pauses take 0.51 s, and the longest is 0.256 s; a turn without one follows a close.
+    const double spent = Scheduler::now() - start;
+    CHECK(accepts_failed <= 2 * (8 + spent / 0.25));
+    const auto failed = static_cast<std::size_t>(accepts_failed);
+    CHECK(director.front->clients() >= kIdle - std::min(kIdle, failed / 2));
+    if (error != EMFILE) CHECK(director.front->clients() == kIdle);
+  }
+}
+
+TEST_CASE("out of descriptors for longer: an idle client makes room, one amid an open request does not") {
+  TestDirector director([](Limits& limits) { limits.first_request = 0; });
+  PlainClient busy(director.front->address()), idle(director.front->address());
+  busy.send(get(kId1));
+  director.until_attempts(kId1, 1);
+  const FailingAccepts fails(6, EMFILE);
+  PlainClient asks(director.front->address());
+  asks.send(get(kId2));
+  director.until_attempts(kId2, 1);
+  CHECK(idle.ended());
+  CHECK_FALSE(busy.ended());
+  director.nodes_answer(kId1, "ACK - 3\r\none");
+  director.until([&] { return busy.heard().ends_with("one"); });
+}
+
+TEST_CASE("a request that crosses the search for room, unread, is served") {
+  bool crossed = false;
+  for (int tries = 0; tries < 20 && !crossed; ++tries) {
+    TestDirector director([](Limits& limits) { limits.first_request = 0; });
+    std::list<PlainClient> clients;
+    for (int i = 0; i < 3; ++i) {
+      clients.emplace_back(director.front->address());
+      clients.back().send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
+      director.until([&] { return clients.back().heard().ends_with("ok\n"); });
+    }
+    PlainClient& asks = clients.back();
+    // The second failure closes the first client, the fourth the second one; the sixth comes 32 ms after the
+    // fifth, and would close the third.
+    const FailingAccepts fails(6, EMFILE);
+    PlainClient other(director.front->address());
+    director.until([&] { return accepts_failed == 5; });
+    const Seconds before = Scheduler::now();
+    // One turn goes past the pause; in the next the request comes before its end, after the sockets were
+    // heard.
+    director.scheduler.at(before, [] { usleep(100000); });
+    bool sent = false;
+    director.scheduler.at(before + 0.001, [&] {
+      crossed = accepts_failed == 5 && !asks.ended();
+      asks.send(get(kId1));
+      sent = true;
+    });
+    director.until([&] { return sent; });
+    if (!crossed) continue;  // a machine so busy that the pause was over before
+    director.until([&] { return director.attempts_heard(kId1) == 1 || asks.ended() || asks.was_reset(); });
+    CHECK(director.attempts_heard(kId1) == 1);
+  }
+  CHECK(crossed);
+}
