--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -1,8 +1,14 @@
 // A client's connection through its ends: the client closes or resets it, or the director has to close it.
 #include <sys/socket.h>
+#include <sys/syscall.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <array>
+#include <cerrno>
+#include <cstdlib>
+#include <list>
+#include <new>
 #include <optional>
 
 #include "helpers.hpp"
@@ -16,6 +22,64 @@
 
 namespace {
 
+// So many of the next calls of accept4 fail with this error.
+int accepts_to_fail = 0, accept_error = 0, accepts_failed = 0;
+
+class FailingAccepts {
+ public:
+  FailingAccepts(int count, int error) {
+    accepts_to_fail = count;
+    accept_error = error;
+    accepts_failed = 0;
+  }
+  ~FailingAccepts() { accepts_to_fail = 0; }
+  FailingAccepts(const FailingAccepts&) = delete;
+  FailingAccepts& operator=(const FailingAccepts&) = delete;
+};
+
+// Allocations of sizes from least to most bytes fail as long as such a window stands.
+std::size_t failing_least = 1, failing_most = 0;
+
+class FailingAllocations {
+ public:
+  FailingAllocations(std::size_t least, std::size_t most) {
+    failing_least = least;
+    failing_most = most;
+  }
+  ~FailingAllocations() {
+    failing_least = 1;
+    failing_most = 0;
+  }
+  FailingAllocations(const FailingAllocations&) = delete;
+  FailingAllocations& operator=(const FailingAllocations&) = delete;
+};
+
+}  // namespace
+
+extern "C" int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
+  if (accepts_to_fail > 0) {
+    --accepts_to_fail;
+    ++accepts_failed;
+    errno = accept_error;
+    return -1;
+  }
+  return static_cast<int>(syscall(SYS_accept4, descriptor, address, size, flags));
+}
+
+[[gnu::noinline]] void* operator new(std::size_t size) {
+  if (size >= failing_least && size <= failing_most) throw std::bad_alloc();
+  void* const memory = std::malloc(std::max<std::size_t>(size, 1));
+  if (!memory) throw std::bad_alloc();
+  return memory;
+}
+[[gnu::noinline]] void* operator new[](std::size_t size) { return ::operator new(size); }
+[[gnu::noinline]] void operator delete[](void* memory) noexcept { std::free(memory); }
+[[gnu::noinline]] void operator delete[](void* memory, std::size_t) noexcept { std::free(memory); }
+[[gnu::noinline]] void operator delete(void* memory) noexcept { std::free(memory); }
+[[gnu::noinline]] void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
+
+namespace {
+
 const std::string kAbsent = "NOENT why=absent 0\r\n";  // an answer after which another node is asked
 const std::string kId1 = "0000000000000001", kId2 = "0000000000000002", kId3 = "0000000000000003";
 
@@ -66,12 +130,23 @@
       const ssize_t count = ::recv(descriptor_, room.data(), room.size(), MSG_DONTWAIT);
       if (count > 0) heard_.append(room.data(), static_cast<std::size_t>(count));
       if (count == 0) ended_ = true;
-      if (count < 0 && errno == ECONNRESET) was_reset_ = true;
-      if (count <= 0) return heard_;
+      if (count < 0 && errno != EAGAIN) was_reset_ = true;
+      if (count > 0) continue;
+      int error = 0;  // a reset that came after the end
+      socklen_t size = sizeof error;
+      getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &error, &size);
+      was_reset_ = was_reset_ || error != 0;
+      return heard_;
     }
   }
-  bool ended() { return heard(), ended_; }
-  bool was_reset() { return heard(), was_reset_; }
+  bool ended() {
+    heard();
+    return ended_;
+  }
+  bool was_reset() {
+    heard();
+    return was_reset_;
+  }
 
  private:
   int descriptor_;
@@ -95,6 +170,7 @@
     const auto nothing = *protocol::Json::parse("{}");
     limits = program::fill_limits(nothing, nothing);
     limits.client_idle = 15;
+    limits.request_whole = 15;
     limits.link_doubt = 15;
     limits.link_stall = 15;
     limits.hold_back = 0;
@@ -320,3 +396,253 @@
     CHECK(director.attempts_heard(kId1) == heard_before);
   }
 }
+
+// --- connections that the director closes ---
+
+namespace {
+
+// The client got this status and then the end of the connection, and was not reset.
+void check_answered_and_ended(TestDirector& director, PlainClient& client, const std::string& status) {
+  director.until([&] { return client.ended() || client.was_reset(); });
+  CHECK(client.heard().starts_with("HTTP/1.1 " + status));
+  CHECK_FALSE(client.was_reset());
+}
+
+}  // namespace
+
+TEST_CASE("a request of which a part was read is answered before its connection is closed") {
+  struct Path {
+    const char* name;
+    const char* status;
+    std::function<void(Limits&)> change;
+    std::function<void(TestDirector&)> close;
+  };
+  std::optional<PlainClient> other;
+  const Path kPaths[] = {
+      {"time-out", "408", [](Limits& limits) { limits.request_whole = 0.05; }, [](TestDirector&) {}},
+      {"room for another client", "503",
+       [](Limits& limits) {
+         limits.clients = 1;
+         limits.first_request = 0;
+       },
+       [&](TestDirector& director) { other.emplace(director.front->address()); }},
+      {"the end of a drain", "503", [](Limits&) {}, [](TestDirector& director) { director.front->close(); }},
+  };
+  for (const Path& path : kPaths) {
+    CAPTURE(path.name);
+    TestDirector director(path.change);
+    PlainClient client(director.front->address());
+    client.send("GET /_health HTTP/1.1\r\n");
+    director.until([&] { return director.front->clients() == 1; });
+    const Seconds read_by = Scheduler::now() + 0.01;
+    director.until([&] { return Scheduler::now() > read_by; });
+    path.close(director);
+    check_answered_and_ended(director, client, path.status);
+    other.reset();
+  }
+}
+
+TEST_CASE("a request that crosses the end of a drain, unread, is served; an idle connection just ends") {
+  TestDirector director;
+  PlainClient asks(director.front->address()), idle(director.front->address());
+  director.until([&] { return director.front->clients() == 2; });
+  asks.send(get(kId1));
+  director.front->close();
+  director.until_attempts(kId1, 1);
+  director.nodes_answer(kId1, "ACK - 2\r\nok");
+  director.until([&] { return asks.heard().ends_with("ok"); });
+  director.front->close();
+  director.until([&] { return asks.ended() && idle.ended(); });
+  CHECK(idle.heard().empty());
+  CHECK_FALSE(idle.was_reset());
+}
+
+TEST_CASE("the end of a drain does not reset an answer on its way to a client that still sends") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  client.send("nonsense\r\n\r\n");
+  director.until([&] { return director.counters.clients_bad == 1; });
+  client.send(std::string(100000, 'x'));
+  director.front->close();
+  client.send(std::string(100000, 'x'));
+  check_answered_and_ended(director, client, "400");
+}
+
+TEST_CASE("a request that crosses the idle time-out, unread, is served") {
+  bool crossed = false;
+  for (int tries = 0; tries < 20 && !crossed; ++tries) {
+    TestDirector director([](Limits& limits) { limits.client_idle = 0.2; });
+    PlainClient client(director.front->address());
+    client.send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
+    director.until([&] { return client.heard().ends_with("ok\n"); });
+    const Seconds answered = Scheduler::now();
+    // One turn goes past the time-out; in the next the request comes before it, after the sockets were heard.
+    director.scheduler.at(answered + 0.1, [] { usleep(200000); });
+    bool sent = false;
+    director.scheduler.at(answered + 0.11, [&] {
+      crossed = !client.ended();
+      client.send(get(kId1));
+      sent = true;
+    });
+    director.until([&] { return sent; });
+    if (!crossed) continue;  // a machine so busy that the time-out came before
+    director.until(
+        [&] { return director.attempts_heard(kId1) == 1 || client.ended() || client.was_reset(); });
+    CHECK(director.attempts_heard(kId1) == 1);
+  }
+  CHECK(crossed);
+}
+
+TEST_CASE("no memory for a request that is read: it is rejected, and harmless to repeat") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  std::string request = put(kId1);
+  request.replace(request.find("Content-Length: 2\r\n\r\nab"), std::string::npos,
+                  "Content-Length: 40000\r\n\r\n" + std::string(40000, 'b'));
+  client.send(request);
+  {
+    const FailingAllocations fails(20000, 60000);
+    director.until([&] { return client.ended() || client.was_reset(); });
+  }
+  check_answered_and_ended(director, client, "503");
+  CHECK(director.failures > 0);
+  CHECK(director.counters.attempts == 0);
+}
+
+TEST_CASE("no memory to read ahead: the open request gets its answer, and the next ones are read after it") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  client.send(get(kId1));
+  director.until_attempts(kId1, 1);
+  {
+    const std::string requests = pipelined(24 << 10);
+    const FailingAllocations fails(17000, 60000);
+    client.send(requests);
+    director.until([&] { return director.failures > 0; });
+    director.nodes_answer(kId1, "ACK - 3\r\none");
+    director.until([&] { return client.heard().ends_with("one") || client.ended() || client.was_reset(); });
+  }
+  CHECK(client.heard().ends_with("one"));
+  director.until_attempts("0000000000001000", 1);
+}
+
+TEST_CASE("no memory for an answer: a final answer that says so") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  client.send(get(kId1));
+  director.until_attempts(kId1, 1);
+  director.nodes_answer(kId1, "ACK - 40000\r\n" + std::string(40000, 'x'));
+  // The node's bytes fit, head and bytes together do not.
+  const FailingAllocations fails(40040, 40060);
+  check_answered_and_ended(director, client, "500");
+  CHECK(director.failures == 1);
+}
+
+TEST_CASE("no memory for a new client: it is closed unread, and the next one is served") {
+  TestDirector director;
+  PlainClient client(director.front->address());
+  {
+    const FailingAllocations fails(sizeof(Client), sizeof(Client) + 64);
+    director.until([&] { return director.failures > 0; });
+  }
+  director.until([&] { return client.ended() || client.was_reset(); });
+  PlainClient next(director.front->address());
+  next.send(get(kId1));
+  director.until_attempts(kId1, 1);
+}
+
+// --- accepts that fail ---
+
+TEST_CASE("accepts that fail for a moment: a short pause, no client is closed, and all are served") {
+  for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, ENETDOWN, EPERM}) {
+    CAPTURE(error);
+    // A pause by these limits would outlast the test.
+    TestDirector director([](Limits& limits) {
+      limits.first_request = 0;
+      limits.linger = 100;
+      limits.linger_most = 100;
+      limits.accept_again = 100;
+    });
+    PlainClient idle(director.front->address());
+    director.until([&] { return director.front->clients() == 1; });
+    const FailingAccepts fails(error == EMFILE ? 1 : 4, error);
+    PlainClient asks(director.front->address());
+    asks.send(get(kId1));
+    director.until_attempts(kId1, 1);
+    CHECK(accepts_to_fail == 0);
+    CHECK(director.counters.accept_paused == static_cast<std::uint64_t>(accepts_failed));
+    CHECK_FALSE(idle.ended());
+    CHECK(director.front->clients() == 2);
+  }
+}
+
+TEST_CASE("accepts that go on failing: ever longer pauses, and few clients are closed") {
+  constexpr std::size_t kIdle = 20;
+  constexpr int kMany = 1000000;
+  for (const int error : {EMFILE, ENOBUFS}) {
+    CAPTURE(error);
+    TestDirector director([](Limits& limits) { limits.first_request = 0; });
+    std::list<PlainClient> idle;
+    while (idle.size() < kIdle) idle.emplace_back(director.front->address());
+    director.until([&] { return director.front->clients() == kIdle; });
+    const FailingAccepts fails(kMany, error);
+    PlainClient waits(director.front->address());
+    const Seconds start = Scheduler::now();
+    director.until([&] { return Scheduler::now() > start + 0.5; });
+    // 2 ms doubled: 8 pauses take 0.51 s, and the longest is 0.256 s; a turn without one follows a close.
+    const double spent = Scheduler::now() - start;
+    CHECK(accepts_failed <= 2 * (8 + spent / 0.25));
+    const auto failed = static_cast<std::size_t>(accepts_failed);
+    CHECK(director.front->clients() >= kIdle - std::min(kIdle, failed / 2));
+    if (error != EMFILE) CHECK(director.front->clients() == kIdle);
+  }
+}
+
+TEST_CASE("out of descriptors for longer: an idle client makes room, one amid an open request does not") {
+  TestDirector director([](Limits& limits) { limits.first_request = 0; });
+  PlainClient busy(director.front->address()), idle(director.front->address());
+  busy.send(get(kId1));
+  director.until_attempts(kId1, 1);
+  const FailingAccepts fails(6, EMFILE);
+  PlainClient asks(director.front->address());
+  asks.send(get(kId2));
+  director.until_attempts(kId2, 1);
+  CHECK(idle.ended());
+  CHECK_FALSE(busy.ended());
+  director.nodes_answer(kId1, "ACK - 3\r\none");
+  director.until([&] { return busy.heard().ends_with("one"); });
+}
+
+TEST_CASE("a request that crosses the search for room, unread, is served") {
+  bool crossed = false;
+  for (int tries = 0; tries < 20 && !crossed; ++tries) {
+    TestDirector director([](Limits& limits) { limits.first_request = 0; });
+    std::list<PlainClient> clients;
+    for (int i = 0; i < 3; ++i) {
+      clients.emplace_back(director.front->address());
+      clients.back().send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
+      director.until([&] { return clients.back().heard().ends_with("ok\n"); });
+    }
+    PlainClient& asks = clients.back();
+    // The second failure closes the first client, the fourth the second one; the sixth comes 32 ms after the
+    // fifth, and would close the third.
+    const FailingAccepts fails(6, EMFILE);
+    PlainClient other(director.front->address());
+    director.until([&] { return accepts_failed == 5; });
+    const Seconds before = Scheduler::now();
+    // One turn goes past the pause; in the next the request comes before its end, after the sockets were
+    // heard.
+    director.scheduler.at(before, [] { usleep(100000); });
+    bool sent = false;
+    director.scheduler.at(before + 0.001, [&] {
+      crossed = accepts_failed == 5 && !asks.ended();
+      asks.send(get(kId1));
+      sent = true;
+    });
+    director.until([&] { return sent; });
+    if (!crossed) continue;  // a machine so busy that the pause was over before
+    director.until([&] { return director.attempts_heard(kId1) == 1 || asks.ended() || asks.was_reset(); });
+    CHECK(director.attempts_heard(kId1) == 1);
+  }
+  CHECK(crossed);
+}
