--- a/src/base/limits.hpp
+++ b/src/base/limits.hpp
@@ -48,7 +48,9 @@
   double log_again = 0;      // between tries to reach the change log
   double changes_hold = 0;   // after a late turn requests wait for a backlog of changes, so long at most
   double serve_on = 0;       // after SIGTERM, new work is still taken for so long
-  double leave = 0;          // after SIGTERM, all is over by then
+  double answers_by = 0;     // after SIGTERM, each request has its final answer by then
+  double leave = 0;          // after SIGTERM, no client is waited for past that
+  double exit_by = 0;        // after SIGTERM, all is over by then
 
   // flow export; nothing of it counts where that is off
   std::size_t flow_connections = 0;  // counted at once
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -83,6 +83,7 @@
 
 constexpr int kNobody = -1;
 constexpr Seconds kLongAgo = -1e9;
+constexpr Seconds kNever = 1e18;
 
 // A mean whose past fades with kSpan, so that the weight is what was heard lately.
 struct Average {
@@ -146,6 +147,7 @@
   double size_kb = 0, lot = 0;
   bool write = false, hot = false, known = false, no_origin = false, in_vain = false, under_way = false;
   bool over = false, bound = false, may_have_run = false, overdue = false, stale_will_do = false;
+  bool cut_short = false;  // its deadline is the director's end
   int first_node = kNobody, looks = 0;
   std::vector<Attempt> offs;
   std::vector<int> bad_nodes, bad_sources;
@@ -678,6 +680,15 @@
     if ((repeatable && call_back) || is_origin(off.node)) watch(p, p.offs.size() - 1, off.patience);
   }
 
+  void cut_deadline(Request& p) {
+    if (p.hard_stop <= deadlines_end_at) return;
+    p.hard_stop = deadlines_end_at;
+    p.cut_short = true;
+  }
+  void end_deadlines() {
+    for (const auto& [id, request] : requests) touched.push_back(id);
+  }
+
   // --- the rules: conditions and effects ---
   bool owed(const Request& p) { return !p.over && !p.bound; }
   bool idle(const Request& p) { return owed(p) && p.out() == 0 && now >= p.resume_at; }
@@ -702,6 +713,8 @@
     }
   }
 
+  // No answer is late by the client's own deadline then, so it is rejected like one that nobody can take.
+  bool is_cut_short(const Request& p) { return p.cut_short && time_is_up(p); }
   bool time_is_up(const Request& p) { return owed(p) && now >= p.hard_stop - period; }
   void forfeit(Request& p) { p.over = true, actions.forfeit(p.id); }
 
@@ -955,6 +968,7 @@
   Actions& actions;
   std::knuth_b chance;
   Seconds now;
+  Seconds deadlines_end_at = kNever;
   std::vector<Grade> grades;
   int here = 0, parent_kind = -1, origin_kind = -1, origin_node = kNobody;
   bool can_join = false, direct = false, may_cancel = false, second_copies = false, may_advise = false;
@@ -992,6 +1006,7 @@
 const std::vector<Director::Mind::Rule> Director::Mind::kRules = {
     {"over and all heard: forget it", &Mind::is_quiet, &Mind::forget},
     {"over with attempts out: call them off", &Mind::has_leftovers, &Mind::call_off},
+    {"the director ends: give it up", &Mind::is_cut_short, &Mind::give_up},
     {"its time is up: forfeit", &Mind::time_is_up, &Mind::forfeit},
     {"no further attempt may or can be made: give it up", &Mind::is_spent, &Mind::give_up},
     {"a write: the shortest way to the origin", &Mind::has_write_way, &Mind::take<&Mind::write_way>},
@@ -1057,6 +1072,7 @@
   p.id = id, p.grade = std::clamp(grade.value, 0, static_cast<int>(m.grades.size()) - 1);
   p.object = object.value, p.unit = mix(object.value) ^ mix(~static_cast<std::uint64_t>(part.value));
   p.group = group.value, p.arrived = now, p.hard_stop = hard_stop, p.size_kb = size_kb, p.write = is_write;
+  m.cut_deadline(p);
   if (m.flow > 0 && size_kb > 0) m.grades[p.grade].send.add(now, size_kb / m.flow, 1);
   if (!m.is_write(p)) {
     Unit& unit = m.units[p.unit];
@@ -1081,6 +1097,13 @@
   m.go_through_rules();
 }
 
+void Director::deadlines_end(Seconds now, Seconds at) {
+  Mind& m = mind_->at(now);
+  m.deadlines_end_at = at;
+  for (auto& [id, request] : m.requests) m.cut_deadline(request);
+  m.actions.wake(at, {"deadlines-end"});
+}
+
 void Director::attempt_begun(Seconds now, const RequestId& id, AttemptNumber) {
   if (Request* p = mind_->at(now).held(id)) p->bound = p->may_have_run = true;
 }
@@ -1125,6 +1148,7 @@
   const std::string& words = token.value;
   if (words == "sweep") m.sweep();
   if (words == "list") m.actions.follow_list();
+  if (words == "deadlines-end") m.end_deadlines();
   if (words.starts_with("resume:")) {
     // Guards against a clock that rounds: a wake may come a hair before the time that was asked for, and no
     // second one would follow; the request would be held until its hard stop.
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -105,6 +105,9 @@
                        ObjectId object, PartNumber part, GroupId group, Seconds hard_stop, double size_kb,
                        bool resent, bool is_write);
   void request_dropped(Seconds now, const RequestId& request);
+  // The director is to end: no deadline, of what is open or still comes, lies after that moment. A request
+  // that is cut short by it is rejected where that is true of it, and failed else.
+  void deadlines_end(Seconds now, Seconds at);
   void attempt_begun(Seconds now, const RequestId& request, AttemptNumber number);
   void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
                      Result result, Note note, Seconds waited, Seconds spent, const LoadReport& report,
--- a/src/program/limits.cpp
+++ b/src/program/limits.cpp
@@ -7,6 +7,27 @@
 namespace {
 constexpr std::size_t kKb = 1024;
 constexpr std::size_t kMb = 1024 * kKb;
+
+constexpr double kUsualDeadline = 6;  // s: where the settings name no class of requests
+
+// SIGKILL may come so long after SIGTERM: the longest deadline, but no more than kKillLongest, and
+// kKillAfter.
+constexpr double kKillLongest = 3;  // s
+constexpr double kKillAfter = 0.7;  // s
+// The last answer lies so much before SIGKILL, for a late turn of the loop and the way to the client.
+constexpr double kKillMargin = 0.3;  // s
+// Where deadlines are short the margin is this part of the longest: with 0.4 s a request that is read 0.6 s
+// after SIGTERM still has its whole time.
+constexpr double kKillMarginPart = 0.25;
+
+void fill_shutdown(Limits& limits, double longest_deadline) {
+  const double kill = std::min(longest_deadline, kKillLongest) + kKillAfter;
+  const double margin = std::min(kKillMargin, kKillMarginPart * longest_deadline);
+  limits.serve_on = 0.75;  // new work may come until 0.6 s after SIGTERM
+  limits.answers_by = kill - margin;
+  limits.leave = kill - margin / 2;    // the last answers are written in between
+  limits.exit_by = kill - margin / 4;  // the last records are
+}
 }  // namespace
 
 Limits fill_limits(const protocol::Json& given, const protocol::Json& settings) {
@@ -35,7 +56,9 @@
   double longest = 0;
   for (const protocol::Json& grade : settings["RequestClasses"].items())
     longest = std::max(longest, grade["DeadlineS"].number(0));
-  limits.longest_wait = 10 * (longest > 0 ? longest : 6);
+  if (longest <= 0) longest = kUsualDeadline;
+  limits.longest_wait = 10 * longest;
+  fill_shutdown(limits, longest);
   const double flow = settings["FamilyInfo"]["StreamKbPerS"].number(0);
   limits.largest_kb = flow > 0 ? flow * limits.longest_wait : 1e6;
   limits.groups = 256;  // as the protocol has it
@@ -67,8 +90,6 @@
   limits.log_silent = 2.2;                   // two comments missed; a stop must be noticed within 4 s
   limits.log_again = 0.2;                    // a change must be told within seconds
   limits.changes_hold = 0.5;  // drains may be at a backlog's end, but requests are owed answers
-  limits.serve_on = 0.75;     // new work may come until 0.6 s after SIGTERM
-  limits.leave = 8;           // past the longest hard stop; each request has ended by itself
 
   limits.flow_connections = limits.clients + limits.links + 32;
   limits.flow_names = count(memory / 2048, 1024, 65536);  // under 200 bytes each: a tenth of the memory
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -146,15 +146,19 @@
     }
   }
 
-  // New work still comes for a moment; then what has been taken is answered.
+  // New work still comes for a moment; then what has been taken is answered. All of it ends before the
+  // process may be killed, also where nodes stay silent or clients do not read.
   Task<> leave() {
     const Seconds start = Scheduler::now();
+    module_.deadlines_end(start + config_.limits.answers_by);
     co_await scheduler_.sleep_until(start + config_.limits.serve_on);
     for (front_.close(); front_.clients() > 0 && Scheduler::now() < start + config_.limits.leave;
          front_.close()) {
       co_await scheduler_.sleep_until(Scheduler::now() + 0.01);
     }
-    if (flows_) co_await flows_->finish(Scheduler::now() + config_.limits.flow_leave);
+    if (flows_)
+      co_await flows_->finish(
+          std::min(Scheduler::now() + config_.limits.flow_leave, start + config_.limits.exit_by));
     scheduler_.stop();
   }
 
--- a/src/routing/module.cpp
+++ b/src/routing/module.cpp
@@ -133,8 +133,10 @@
 
 Task<> ModuleActor::live(ModuleActor& self) {
   for (auto call = co_await self.mailbox_.next(); call; call = co_await self.mailbox_.next()) {
-    while (Scheduler::now() < self.held_until_) co_await self.scheduler_.sleep_until(self.held_until_);
-    while (self.changes_wait_ && Scheduler::now() < self.held_until_ + self.limits_.changes_hold)
+    while (Scheduler::now() < std::min(self.held_until_, self.deadlines_end_))
+      co_await self.scheduler_.sleep_until(std::min(self.held_until_, self.deadlines_end_));
+    while (self.changes_wait_ &&
+           Scheduler::now() < std::min(self.held_until_ + self.limits_.changes_hold, self.deadlines_end_))
       co_await self.scheduler_.sleep_until(Scheduler::now() + kHoldLook);
     self.scheduler_.run_guarded(call);
   }
@@ -201,14 +203,32 @@
   Request request;
   request.wording = std::move(wording);
   request.asker = std::move(asker);
-  request.hard_stop = hard_stop;
-  // Guards against a request that nothing would ever end; the module's own time-outs come first.
-  request.last_resort = scheduler_.at(hard_stop + limits_.overdue, [this, id] { end_by_last_resort(id); });
-  requests_.insert_or_assign(id, std::move(request));
+  request.hard_stop = std::min(hard_stop, deadlines_end_);
+  watch_overdue(id, requests_.insert_or_assign(id, std::move(request)).first->second);
   director_->request_arrived(clock_.now(), id, grade, {0}, object, part, group,
                              clock_.of_scheduler(hard_stop), size_kb, resent, is_write);
 }
 
+// Guards against a request that nothing would ever end; the module's own time-outs come first.
+void ModuleActor::watch_overdue(const RequestId& id, Request& request) {
+  request.last_resort =
+      scheduler_.at(request.hard_stop + limits_.overdue, [this, id] { end_by_last_resort(id); });
+}
+
+// By the mailbox of changes, which is never held.
+void ModuleActor::deadlines_end(Seconds at) {
+  deadlines_end_ = at;
+  told_.post([this, at] {
+    for (auto& [id, request] : requests_) {
+      if (!request.owed || request.hard_stop <= at) continue;
+      scheduler_.cancel(request.last_resort);
+      request.hard_stop = at;
+      watch_overdue(id, request);
+    }
+    director_->deadlines_end(clock_.now(), clock_.of_scheduler(at));
+  });
+}
+
 ModuleActor::Request* ModuleActor::owed(const RequestId& id) {
   const auto found = requests_.find(id);
   return found != requests_.end() && found->second.owed ? &found->second : nullptr;
--- a/src/routing/module.hpp
+++ b/src/routing/module.hpp
@@ -51,6 +51,10 @@
   // wait in the change log's socket beside the requests. Until then only changes reach the module.
   void woke_late(Seconds listen_until);
 
+  // The director is to end: whatever is open or still comes gets its final answer by that moment of the
+  // scheduler's time, as its class allows (Director::deadlines_end).
+  void deadlines_end(Seconds at);
+
   // From here on each call only posts.
   void known_change_arrived(protocol::Json change) override;
   void changes_arrived(std::vector<distribution::NumberedChange> changes, bool more_waits,
@@ -89,6 +93,7 @@
   void attempt_ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
                      Note note, Seconds waited, const LoadReport& report, Content content);
   void end_by_last_resort(const RequestId& request);
+  void watch_overdue(const RequestId& id, Request& request);
   Request* owed(const RequestId& request);
   void answered(Request& request);
   void forget_if_quiet(const RequestId& request);
@@ -115,9 +120,10 @@
   flow::Exporter* const flows_;            // null: flows are not exported
   std::string parent_kind_, origin_kind_;  // by index, as the settings name them
   transport::Clock clock_;
-  transport::Mailbox mailbox_, told_;  // told_: changes alone
-  Seconds held_until_ = 0;             // what is in mailbox_ waits until then
-  bool changes_wait_ = false;          // the change stream had more to read than it has brought
+  transport::Mailbox mailbox_, told_;          // told_: changes alone
+  Seconds held_until_ = 0;                     // what is in mailbox_ waits until then
+  Seconds deadlines_end_ = transport::kNever;  // no deadline lies after that, and nothing is held for longer
+  bool changes_wait_ = false;                  // the change stream had more to read than it has brought
   std::size_t links_ = 0, open_ = 0;
   std::map<NodeId, std::shared_ptr<Peer>> peers_;
   std::map<NodeId, transport::Address> addresses_;
--- /dev/null
+++ b/tests/program/shutdown_test.cpp
@@ -0,0 +1,236 @@
+// The program's end by SIGTERM while nodes stay silent and clients do not read: everybody gets a final
+// answer.
+#include <signal.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <filesystem>
+
+#include "helpers.hpp"
+#include "program/config.hpp"
+#include "rig/process.hpp"
+
+using namespace hareramp;
+using transport::Scheduler;
+
+namespace {
+
+struct File {
+  explicit File(const std::string& text) {
+    path = std::filesystem::temp_directory_path() / "hareramp-test-XXXXXX";
+    ::close(mkstemp(path.data()));
+    std::ofstream(path) << text;
+  }
+  ~File() { std::filesystem::remove(path); }
+  std::string path;
+};
+
+// The real program in front of one cache and an origin that answer only what a test lets them.
+class Site {
+ public:
+  explicit Site(double deadline)
+      : listen(nobody(scheduler)),
+        config(text(deadline)),
+        process(HARERAMP_BINARY, {"serve", "--config", config.path}) {
+    CHECK(until([&] { return process.has_printed("serving"); }));
+  }
+  bool until(const std::function<bool()>& holds) { return runs_until(scheduler, holds); }
+  void pass(Seconds time) {
+    const Seconds then = Scheduler::now() + time;
+    until([&] { return Scheduler::now() >= then; });
+  }
+  std::shared_ptr<End> send(const std::string& request) {
+    auto client = dial(scheduler, listen);
+    client->send(request);
+    return client;
+  }
+  static std::string get(int number, int deadline_ms) {
+    return "GET /invoke/read/" + std::to_string(number) +
+           "/block-0 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id(number) +
+           "\r\nX-Deadline-Ms: " + std::to_string(deadline_ms) + "\r\n\r\n";
+  }
+  static std::string put(int number, int deadline_ms) {
+    return "PUT /invoke/write/" + std::to_string(number) +
+           "/block-0 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id(number) +
+           "\r\nX-Deadline-Ms: " + std::to_string(deadline_ms) + "\r\nContent-Length: 2\r\n\r\nab";
+  }
+  static std::string id(int number) {
+    const std::string digits = std::to_string(number);
+    return std::string(16 - digits.size(), '0') + digits;
+  }
+  // An attempt of the request has reached a node.
+  bool is_out(int number) const {
+    for (const StandIn* node : {&cache, &origin})
+      for (const auto& end : node->ends)
+        if (end->heard_all("serve " + id(number))) return true;
+    return false;
+  }
+
+  Scheduler scheduler;
+  StandIn cache{scheduler}, origin{scheduler}, changes{scheduler};
+  const transport::Address listen;
+  const File config;
+  rig::Process process;
+
+ private:
+  static std::string entry(const std::string& id, const StandIn& node, const std::string& kind) {
+    return R"({"id":")" + id + R"(","addr":")" + node.address.text() + R"(","zone":"hub","kind":")" + kind +
+           R"(","cell":1,"state":"active","weight":60,"started_ms":0})";
+  }
+  std::string text(double deadline) const {
+    const std::string limit = R"("DeadlineS":)" + std::to_string(deadline) + R"(,"PromiseS":0.3)";
+    return R"({"name":"n3","listen":")" + listen.text() +
+           R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"changelog":")" +
+           changes.address.text() +
+           R"(","known":{"seq":3,"results":[{"seq":1,"fleet":{"full":true,"servers":[)" +
+           entry("c1", cache, "cache") + "," + entry("O", origin, "origin") +
+           R"(]}}]},"settings":{"Kinds":["cache","parent","origin"],"Zones":["hub"],"Locality":0,
+    "FamilyInfo":{"OriginKind":2,"ShieldKind":1,"Direct":true,"GoesThrough":[false,true]},"Weights":"nominal",
+    "Permissions":{"MaxAttempts":6,"Cancel":true},"RequestClasses":[{"Name":"read","Effect":"retryable",)" +
+           limit + R"(},{"Name":"write","Effect":"fragile",)" + limit + "}]}}";
+  }
+};
+
+// A connection that is never read from, with little room for what comes.
+class DeafClient {
+ public:
+  DeafClient(const transport::Address& to, const std::string& request) {
+    const int room = 2048;
+    setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
+    const std::string address = to.text();
+    sockaddr_in at{};
+    at.sin_family = AF_INET;
+    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    at.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1))));
+    REQUIRE(connect(socket_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
+    REQUIRE(write(socket_, request.data(), request.size()) == static_cast<ssize_t>(request.size()));
+  }
+  ~DeafClient() { close(socket_); }
+
+ private:
+  const int socket_ = socket(AF_INET, SOCK_STREAM, 0);
+};
+
+bool is_answered(const End& client) { return client.heard_all("\r\n\r\n"); }
+
+}  // namespace
+
+TEST_CASE("the times after SIGTERM follow from the longest deadline, as far as it counts") {
+  const auto limits_of = [](const std::string& deadlines) {
+    return program::fill_limits(*protocol::Json::parse("{}"),
+                                *protocol::Json::parse("{\"RequestClasses\":[" + deadlines + "]}"));
+  };
+  const Limits longest = limits_of(R"({"DeadlineS":0.4},{"DeadlineS":6})");
+  CHECK(longest.answers_by == doctest::Approx(3.4));
+  CHECK(longest.exit_by < 3.7);
+  CHECK(limits_of("").answers_by == doctest::Approx(3.4));
+  CHECK(limits_of(R"({"DeadlineS":1.5})").answers_by == doctest::Approx(1.9));
+  const Limits shortest = limits_of(R"({"DeadlineS":0.4})");
+  CHECK(shortest.answers_by == doctest::Approx(1.0));  // 0.6 s and the whole deadline
+  CHECK(shortest.exit_by < 1.1);
+  for (const Limits& limits : {longest, shortest}) {
+    CHECK(limits.serve_on == 0.75);
+    CHECK(limits.serve_on < limits.answers_by);
+    CHECK(limits.answers_by < limits.leave);
+    CHECK(limits.leave < limits.exit_by);
+  }
+}
+
+TEST_CASE(
+    "SIGTERM with deadlines of 6 s, silent nodes and a client that does not read: all answered, then the "
+    "end") {
+  constexpr int kDeadlineMs = 6000;
+  constexpr Seconds kLateRequests = 0.55;  // s after SIGTERM
+  // SIGKILL comes at 3.7 s. The verdict leaves room for busy cores; a deadline that is not cut takes 6 s.
+  constexpr Seconds kBound = 5;
+  Site site(6);
+  std::vector<std::shared_ptr<End>> reads, writes, open;
+  for (int number = 0; number < 5; ++number) open.push_back(dial(site.scheduler, site.listen));
+  // More answers than all buffers on the way hold: one of them waits in the director.
+  constexpr int kFirstOfDeaf = 100, kOfDeaf = 24;
+  std::string pipelined;
+  for (int number = kFirstOfDeaf; number < kFirstOfDeaf + kOfDeaf; ++number)
+    pipelined += Site::get(number, kDeadlineMs);
+  const DeafClient deaf(site.listen, pipelined);
+  int next = kFirstOfDeaf;
+  std::string rest;
+  const auto answer_deaf = [&] {
+    if (rest.empty() && next < kFirstOfDeaf + kOfDeaf && site.is_out(next))
+      rest = Site::id(next++) + " ACK - 500000\r\n" + std::string(500'000, 'x') + "\r\n";
+    if (!rest.empty()) rest.erase(0, site.cache.ends[0]->try_send(rest));
+  };
+  REQUIRE(site.until([&] {
+    answer_deaf();
+    return next > kFirstOfDeaf + 1;
+  }));
+
+  for (int number = 1; number <= 5; ++number) {
+    reads.push_back(site.send(Site::get(number, kDeadlineMs)));
+    writes.push_back(site.send(Site::put(10 + number, kDeadlineMs)));
+  }
+  // A read may be rejected at once, when the silent cache has been left out.
+  REQUIRE(site.until([&] {
+    answer_deaf();
+    for (int number = 1; number <= 5; ++number) {
+      const bool is_read_settled =
+          site.is_out(number) || is_answered(*reads[static_cast<std::size_t>(number - 1)]);
+      if (!is_read_settled || !site.is_out(10 + number)) return false;
+    }
+    return true;
+  }));
+  site.process.send(SIGTERM);
+  const Seconds start = Scheduler::now();
+  REQUIRE(site.until([&] { return site.process.has_printed("leaving"); }));
+  site.pass(kLateRequests - (Scheduler::now() - start));
+  for (int number = 0; number < 5; ++number)
+    open[static_cast<std::size_t>(number)]->send(number % 2 == 0 ? Site::get(20 + number, kDeadlineMs)
+                                                                 : Site::put(20 + number, kDeadlineMs));
+  const auto all_answered = [&] {
+    for (const auto* clients : {&reads, &writes, &open})
+      for (const auto& client : *clients)
+        if (!is_answered(*client)) return false;
+    return true;
+  };
+  REQUIRE(site.until([&] {
+    answer_deaf();
+    return all_answered() || site.process.ended();
+  }));
+  const Seconds answered = Scheduler::now() - start;
+  CHECK(all_answered());
+  REQUIRE(site.until([&] { return site.process.ended(); }));
+  MESSAGE("answered " << answered << " s, ended " << Scheduler::now() - start << " s after SIGTERM");
+  CHECK(answered < kBound);
+  CHECK(Scheduler::now() - start < kBound);
+  CHECK(site.process.status() == 0);
+  CHECK(next < kFirstOfDeaf + kOfDeaf);
+  for (const auto& client : reads) CHECK(client->heard.starts_with("HTTP/1.1 503"));
+  for (const auto& client : writes) CHECK(client->heard.starts_with("HTTP/1.1 500"));
+}
+
+TEST_CASE("SIGTERM under load with deadlines of 0.4 s: all that were taken are answered, then the end") {
+  constexpr int kDeadlineMs = 400, kRequests = 100;
+  constexpr Seconds kBound = 4;  // SIGKILL comes at 1.1 s; the verdict leaves room for busy cores
+  Site site(0.4);
+  std::vector<std::shared_ptr<End>> clients;
+  for (int number = 1; number <= kRequests; ++number) clients.push_back(dial(site.scheduler, site.listen));
+  const auto send = [&](int number) {
+    clients[static_cast<std::size_t>(number - 1)]->send(number % 3 == 0 ? Site::put(number, kDeadlineMs)
+                                                                        : Site::get(number, kDeadlineMs));
+  };
+  for (int number = 1; number <= kRequests / 2; ++number) send(number);
+  site.process.send(SIGTERM);
+  const Seconds start = Scheduler::now();
+  REQUIRE(site.until([&] { return site.process.has_printed("leaving"); }));
+  for (int number = kRequests / 2 + 1; number <= kRequests; ++number) send(number);
+  const auto all_answered = [&] {
+    return std::all_of(clients.begin(), clients.end(),
+                       [](const auto& client) { return is_answered(*client); });
+  };
+  REQUIRE(site.until([&] { return all_answered() || site.process.ended(); }));
+  const Seconds answered = Scheduler::now() - start;
+  CHECK(all_answered());
+  REQUIRE(site.until([&] { return site.process.ended(); }));
+  MESSAGE("answered " << answered << " s, ended " << Scheduler::now() - start << " s after SIGTERM");
+  CHECK(Scheduler::now() - start < kBound);
+  CHECK(site.process.status() == 0);
+}
