--- a/tests/wall_clock/wall_clock_test.cpp
+++ b/tests/wall_clock/wall_clock_test.cpp
@@ -141,3 +141,48 @@
     CHECK_MESSAGE(attempts_at(fresh) <= kMost, "step " << step);
   }
 }
+
+TEST_CASE("300 requests while the wall clock steps back and ahead: none is lost") {
+  constexpr int kClients = 30, kRounds = 10;
+  const Seconds steps[kRounds] = {0, -5, 0, -kHour, 0, kHour, 0, kHour, -kHour, -5};
+  Site site;
+  std::vector<std::shared_ptr<End>> clients;
+  for (int place = 0; place < kClients; ++place)
+    clients.push_back(dial(site.scheduler, site.front->address()));
+  std::map<const End*, std::size_t> read_to;  // of what each connection to a node has heard
+  const auto answer_all = [&] {
+    for (StandIn* node : {&site.cache, &site.origin}) {
+      for (const auto& end : node->ends) {
+        std::size_t& from = read_to[end.get()];
+        for (auto at = end->heard.find("serve ", from);
+             at != std::string::npos && at + 22 <= end->heard.size(); at = end->heard.find("serve ", from)) {
+          from = at + 22;
+          end->send(end->heard.substr(at + 6, 16) + " ACK sum=4be0,t0=1,why=mem 2\r\nok\r\n");
+        }
+      }
+    }
+  };
+  for (int round = 0; round < kRounds; ++round) {
+    const auto asked = site.counters.attempts;
+    for (int place = 0; place < kClients; ++place)
+      clients[static_cast<std::size_t>(place)]->send(Site::get(round * kClients + place + 1));
+    // The step comes while requests are out.
+    CHECK(runs_until(site.scheduler, [&] { return site.counters.attempts > asked; }));
+    step_wall_clock(steps[round]);
+    CHECK(runs_until(site.scheduler, [&] {
+      answer_all();
+      return site.counters.completed == static_cast<std::uint64_t>((round + 1) * kClients);
+    }));
+  }
+  CHECK(runs_until(site.scheduler, [&] {
+    return std::all_of(clients.begin(), clients.end(), [](const auto& client) {
+      std::size_t answers = 0;
+      for (auto at = client->heard.find("HTTP/1.1 200"); at != std::string::npos;
+           at = client->heard.find("HTTP/1.1 200", at + 1))
+        ++answers;
+      return answers == kRounds;
+    });
+  }));
+  CHECK(site.counters.taken == kClients * kRounds);
+  CHECK(site.counters.bounced + site.counters.forfeited + site.counters.left == 0);
+}
