--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -125,13 +125,17 @@
   MessageNumber to_disk = 0;         // up to here they are on the disk, or a job is out
   std::set<MessageNumber> not_kept;  // in memory only: the disk did not take them, or dropped them
   bool spooled = false;
-  bool appending = false;   // a job is out; one at a time, as numbers on the disk have to go up
-  bool disk_fails = false;  // messages are sent from memory until an append succeeds
+  bool appending = false;         // a job is out; one at a time, as numbers on the disk have to go up
+  MessageNumber append_from = 0;  // where that job begins; it ends before to_disk
+  bool disk_fails = false;        // messages are sent from memory until an append succeeds
   std::uint64_t messages = 0, flows = 0, octets = 0;
   Seconds templates_at = 0;
   std::size_t since_templates = 0;
 
   MessageNumber sendable() const { return spooled && !disk_fails ? on_disk : backlog.end(); }
+  bool is_on_its_way_to_disk(MessageNumber number) const {
+    return appending && number >= append_from && number < to_disk;
+  }
   bool is_on_disk(MessageNumber number) const {
     return spooled && number < on_disk && !not_kept.contains(number);
   }
@@ -343,7 +347,7 @@
   stream.backlog.release(needed);
   stream.not_kept.erase(stream.not_kept.begin(), stream.not_kept.lower_bound(stream.backlog.first()));
   stream.backlog.keep_bound([&](MessageNumber number, const ipfix::Message& message) {
-    if (stream.is_on_disk(number)) return;
+    if (stream.is_on_disk(number) || stream.is_on_its_way_to_disk(number)) return;
     account_dropped(stream, number, message.flows, message.packets, message.octets);
     stream.to_disk = std::max(stream.to_disk, number + 1);
     stream.on_disk = std::max(stream.on_disk, number + 1);
@@ -355,6 +359,7 @@
   for (const auto& receiver : stream.receivers) {
     if (number < receiver->cursor || (receiver->sending && number == receiver->cursor)) continue;
     count_not_sent(*receiver, flows, packets, octets);
+    std::erase_if(receiver->from_disk, [&](const auto& entry) { return entry.number == number; });
   }
 }
 
@@ -491,12 +496,16 @@
 
 // What the spool dropped to keep its bounds may still be in memory, and is then sent from there.
 void Exporter::account_dropped_from_disk(Stream& stream, const storage::Dropped& dropped) {
-  for (const storage::SpoolEntry& entry : dropped) {
-    if (stream.backlog.at(entry.number))
-      stream.not_kept.insert(entry.number);
-    else
+  for (const storage::SpoolEntry& entry : dropped)
+    if (stream.backlog.at(entry.number)) stream.not_kept.insert(entry.number);
+  account_gone(stream, dropped);
+}
+
+// Of messages that are not on the disk: those that have left memory too are lost.
+void Exporter::account_gone(Stream& stream, const std::vector<storage::SpoolEntry>& entries) {
+  for (const storage::SpoolEntry& entry : entries)
+    if (!stream.backlog.at(entry.number))
       account_dropped(stream, entry.number, entry.flows, entry.packets, entry.octets);
-  }
 }
 
 // At the end: what no disk holds is lost to the receivers that have not got it.
@@ -542,8 +551,9 @@
       account_dropped_from_disk(stream, batch->dropped);
       disk_worked();
     } else {
-      for (MessageNumber number = from; number < to; ++number)
-        if (stream.not_kept.insert(number).second) ++counters_.spool_failed;
+      for (const storage::SpoolEntry& entry : batch->entries)
+        if (stream.not_kept.insert(entry.number).second) ++counters_.spool_failed;
+      account_gone(stream, batch->entries);
       stream.to_disk = from;
       disk_failed(batch->error);
     }
@@ -552,6 +562,7 @@
     for (const auto& receiver : stream.receivers) receiver->awake.notify();
   };
   if (!worker_->post(job, done)) return;
+  stream.append_from = from;
   stream.to_disk = to;
   stream.appending = true;
 }
@@ -624,11 +635,15 @@
       bool done = false;
     };
     const auto work = std::make_shared<Work>();
+    const MessageNumber all_before = std::min(stream.backlog.first(), stream.sendable());  // of what is read
     const auto job = [spool = spool_.get(), work, from = receiver.cursor, bytes = limits_.spool_read] {
       work->entries = spool->read(from, bytes, work->error);
     };
+    // Taken over at once: a job behind this one may drop some of them.
     const auto done = [work, &receiver] {
       work->done = true;
+      receiver.from_disk.assign(std::make_move_iterator(work->entries.begin()),
+                                std::make_move_iterator(work->entries.end()));
       receiver.from_disk_ready.notify();
     };
     if (!worker_->post(job, done)) co_return nullptr;
@@ -637,13 +652,12 @@
       disk_failed(work->error);
       co_return nullptr;
     }
+    if (work->entries.empty()) {  // gone from the disk too, by its age or bound
+      receiver.cursor = std::max(receiver.cursor, all_before);
+      co_return stream.backlog.at(receiver.cursor);
+    }
     counters_.spool_read += work->entries.size();
-    receiver.from_disk.assign(std::make_move_iterator(work->entries.begin()),
-                              std::make_move_iterator(work->entries.end()));
-  }
-  if (receiver.from_disk.empty()) {  // gone from the disk too, by its age or bound
-    receiver.cursor = std::max(receiver.cursor, std::min(stream.backlog.first(), stream.sendable()));
-    co_return stream.backlog.at(receiver.cursor);
+    if (receiver.from_disk.empty()) co_return nullptr;  // dropped meanwhile: what follows is read next
   }
   storage::SpoolEntry& entry = receiver.from_disk.front();
   // What the spool has dropped may still be in memory.
--- a/src/flow/exporter.hpp
+++ b/src/flow/exporter.hpp
@@ -88,6 +88,7 @@
   };
   SpoolAge spool_age() const;
   void account_dropped_from_disk(Stream& stream, const storage::Dropped& dropped);
+  void account_gone(Stream& stream, const std::vector<storage::SpoolEntry>& entries);
   void account_left_in_memory(Stream& stream);
   void disk_worked();
   void disk_failed(const std::string& error);
