--- a/tests/faults/fault_shim.cpp
+++ b/tests/faults/fault_shim.cpp
@@ -80,7 +80,23 @@
   return static_cast<int>(syscall(number, arguments...));
 }
 
-// For calls that move bytes; an offset and flags follow the length.
+// Errors after which the kernel holds a connection for over; some of them are told only once.
+bool ends_connection(int error) {
+  return error == ECONNRESET || error == EPIPE || error == ETIMEDOUT || error == EHOSTUNREACH;
+}
+
+// recv and send. What struck the connection has ended it: later calls and events show that as well.
+template <class... Arguments>
+ssize_t move_on_connection(SystemCall call, long number, int descriptor, const void* bytes,
+                           std::size_t length, Arguments... arguments) {
+  if (const auto error = fault(call)) {
+    if (ends_connection(*error)) syscall(SYS_shutdown, descriptor, SHUT_RDWR);
+    return fail_with(*error);
+  }
+  return syscall(number, descriptor, bytes, bounded(call, length), arguments...);
+}
+
+// For files; an offset may follow the length.
 template <class... Arguments>
 ssize_t move_bytes(SystemCall call, long number, int descriptor, const void* bytes, std::size_t length,
                    Arguments... arguments) {
@@ -118,14 +134,15 @@
 }
 
 ssize_t recv(int descriptor, void* bytes, std::size_t length, int flags) {
-  return move_bytes(SystemCall::kRecv, SYS_recvfrom, descriptor, bytes, length, flags, nullptr, nullptr);
+  return move_on_connection(SystemCall::kRecv, SYS_recvfrom, descriptor, bytes, length, flags, nullptr,
+                            nullptr);
 }
 ssize_t __recv_chk(int descriptor, void* bytes, std::size_t length, std::size_t /*room*/, int flags) {
   return recv(descriptor, bytes, length, flags);
 }
 
 ssize_t send(int descriptor, const void* bytes, std::size_t length, int flags) {
-  return move_bytes(SystemCall::kSend, SYS_sendto, descriptor, bytes, length, flags, nullptr, 0);
+  return move_on_connection(SystemCall::kSend, SYS_sendto, descriptor, bytes, length, flags, nullptr, 0);
 }
 
 int epoll_ctl(int epoll, int operation, int descriptor, epoll_event* event) noexcept {
--- a/tests/faults/fault_shim_test.cpp
+++ b/tests/faults/fault_shim_test.cpp
@@ -1,7 +1,8 @@
 // The preloaded faults themselves: that the real program feels them.
-#include <signal.h>
+#include <time.h>
 
 #include <cerrno>
+#include <string>
 
 #include "faults/fault_control.hpp"
 #include "faults/faulty_program.hpp"
@@ -27,3 +28,16 @@
   CHECK(program.answers(1) == faults::Answers{.completed = 1});
   CHECK(program.faults.injected(SystemCall::kAccept4) == 2);
 }
+
+TEST_CASE("the system's clock is offset by as much as the test says") {
+  transport::Scheduler scheduler;
+  faults::FaultControl control;
+  constexpr time_t kOffset = 10'000'000;  // s
+  control.set_clock_offset(kOffset);
+  const time_t before = time(nullptr);
+  rig::Process date("/bin/date", {"+%s"}, control.environment(HARERAMP_FAULTS_LIBRARY));
+  REQUIRE(runs_until(scheduler, [&] { return date.ended(); }));
+  const time_t printed = std::stoll(date.printed());
+  CHECK(printed >= before + kOffset);
+  CHECK(printed <= time(nullptr) + kOffset + 1);  // it lags behind the clock by a tick
+}
--- a/tests/faults/faulty_program.cpp
+++ b/tests/faults/faulty_program.cpp
@@ -178,6 +178,12 @@
   return process.counters().at(name);
 }
 
+std::uint64_t FaultyProgram::requests_run() const {
+  std::uint64_t all = 0;
+  for (const auto& node : nodes) all += node->requests();
+  return all;
+}
+
 std::uint64_t FaultyProgram::calls() const {
   std::uint64_t all = 0;
   for (std::size_t i = 0; i < kSystemCalls; ++i) all += faults.seen(static_cast<SystemCall>(i));
--- a/tests/faults/faulty_program.hpp
+++ b/tests/faults/faulty_program.hpp
@@ -49,6 +49,8 @@
   bool stops();
   // One of the figures that the program prints when it is asked to.
   std::uint64_t counter(const std::string& name);
+  // Requests that came to the nodes, all together.
+  std::uint64_t requests_run() const;
   // The system calls of all kinds that it has made.
   std::uint64_t calls() const;
 
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -17,6 +17,7 @@
 namespace {
 
 constexpr int kSteps = 10;          // first calls of a kind of which each fails once
+constexpr int kStepsOfWrites = 30;  // to the answers of the nodes
 constexpr int kRequests = 4;        // of each step
 constexpr int kInARow = 4;          // failures
 constexpr int kManyRequests = 100;  // round failures in a row
@@ -193,6 +194,28 @@
   for (const Fault& fault : kBreakingFaults) check_each_step(world.program, fault, true);
 }
 
+TEST_CASE("a connection breaks while writes are out: no write runs twice") {
+  World world;
+  FaultyProgram& program = world.program;
+  for (const Fault& fault : kBreakingFaults) {
+    const std::uint64_t at_first = program.faults.injected(fault.call);
+    for (int step = 0; step < kStepsOfWrites; ++step) {
+      CAPTURE(fault.name);
+      CAPTURE(step);
+      const std::uint64_t before = program.faults.injected(fault.call), run_before = program.requests_run();
+      program.faults.inject(fault.call, fault.error, step);
+      const Answers answers = program.answers(kRequests, "note");
+      program.faults.clear(fault.call);
+      const std::uint64_t struck = program.faults.injected(fault.call) - before;
+      check_goes_on(program, answers, struck);
+      CHECK(answers.completed + static_cast<int>(struck) >= kRequests);
+      CHECK(program.requests_run() - run_before <= kRequests);
+      CHECK(program.recovers());
+    }
+    CHECK(program.faults.injected(fault.call) > at_first);
+  }
+}
+
 TEST_CASE("connections break for a while: no spin, and requests are served after it") {
   World world;
   for (const Fault& fault : kBreakingFaults)
@@ -236,3 +259,18 @@
     CHECK(program.recovers());
   }
 }
+
+TEST_CASE("the system's clock steps an hour while requests are out: every request is served") {
+  World world;
+  FaultyProgram& program = world.program;
+  for (const double offset : {3600.0, -3600.0}) {
+    CAPTURE(offset);
+    program.scheduler.at(Scheduler::now() + kShortFaultLasts / 2,
+                         [&] { program.faults.set_clock_offset(offset); });
+    CHECK(program.answers(kManyRequests, "segment", kShortFaultLasts / kManyRequests) ==
+          Answers{.completed = kManyRequests});
+    CHECK(program.recovers());
+    program.faults.clear_all();
+    CHECK(program.recovers());
+  }
+}
