--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -159,6 +159,13 @@
   Seconds at = kLongAgo;
 };
 
+// Places of nodes by what they are to this director.
+struct SortedNodes {
+  std::vector<int> parents;     // of all zones
+  std::vector<int> own_caches;  // of the own zone
+  int origin = kNobody;
+};
+
 bool holds(const std::vector<int>& list, int node) {
   return std::find(list.begin(), list.end(), node) != list.end();
 }
@@ -255,17 +262,28 @@
   int count() const { return static_cast<int>(name.size()); }
   bool is_cache_kind(int n) const { return !is_parent(n) && !is_origin(n); }
   bool is_cache(int n) const { return is_cache_kind(n) && zone[n] == here; }
-  int origin() const { return origin_node; }
+  int origin() const { return sorted_nodes().origin; }
   // Whenever a node or its kind or place changes: nobody goes through the whole fleet for a request.
   void sort_out_kinds() {
-    ++list_turn, all_parents.clear(), own_caches.clear(), origin_node = kNobody;
+    ++list_turn;
+    nodes_are_sorted = false;
+  }
+  // Sorted when first asked for, and not with each entry: a list of thousands of nodes comes entry by entry.
+  const SortedNodes& sorted_nodes() const {
+    if (!std::exchange(nodes_are_sorted, true)) sort_nodes();
+    return sorted;
+  }
+  void sort_nodes() const {
+    sorted = SortedNodes();
     for (int n = 0; n < count(); ++n) {
-      if (is_parent(n)) all_parents.push_back(n);
-      if (is_cache(n)) own_caches.push_back(n);
-      if (is_origin(n) && origin_node == kNobody) origin_node = n;
+      if (is_parent(n)) sorted.parents.push_back(n);
+      if (is_cache(n)) sorted.own_caches.push_back(n);
+      if (is_origin(n) && sorted.origin == kNobody) sorted.origin = n;
     }
   }
-  const std::vector<int>& of_kind(bool parents) const { return parents ? all_parents : own_caches; }
+  const std::vector<int>& of_kind(bool parents) const {
+    return parents ? sorted_nodes().parents : sorted_nodes().own_caches;
+  }
   bool is_out(int n) const { return out_since[n] > kLongAgo; }
 
   // Arrays grow only while no place of a node that is long gone (sweep) can be had.
@@ -453,7 +471,7 @@
     const std::vector<int>& order = caches_for(p);
     if (order.empty()) return false;
     double sum = 0, caches = 0;
-    for (const int n : own_caches)
+    for (const int n : sorted_nodes().own_caches)
       if (serve_rate[n].heard()) sum += serve_rate[n].per_second(now), ++caches;
     double rate = serve_rate[order[0]].per_second(now);
     if (rate <= 0 && caches > 0) rate = sum / caches;
@@ -587,7 +605,7 @@
   // The origin is asked only when no parent is kept. One that is kept but crowded, or that has just refused,
   // does not count: the crowd would only move on to the origin, which all parents need.
   bool any_parent_kept(const Request& p) {
-    for (const int n : all_parents)
+    for (const int n : sorted_nodes().parents)
       if (running[n] && !is_out(n) && kept(n) && has_budget(n, send_time(p))) return true;
     return false;
   }
@@ -966,14 +984,15 @@
   std::knuth_b chance;
   Seconds now;
   std::vector<Grade> grades;
-  int here = 0, parent_kind = -1, origin_kind = -1, origin_node = kNobody;
+  int here = 0, parent_kind = -1, origin_kind = -1;
   bool can_join = false, direct = false, may_cancel = false, second_copies = false, may_advise = false;
   bool peers_fill = false, tells_all = false, weights_drift = false, weights_unknown = false;
   double max_attempts = 1, parent_from = 0, cache_from = 0, parent_limit = 2, cache_limit = 2;
   double cache_sharers = 1, sharers_of_all = 1;
   Seconds most_advice = 0, period = 0, purge_done = 0, parent_warms = 0, cache_warms = 0, fall_span = 0;
   std::uint64_t list_turn = 1;
-  std::vector<int> all_parents, own_caches;
+  mutable SortedNodes sorted;
+  mutable bool nodes_are_sorted = false;
   double flow = 0, link_part = 1, origin_part = 1, spare_fills = kSaved, origin_good = 0;
   Seconds link_heard = kLongAgo, origin_cut_at = kLongAgo, origin_calm_at = kLongAgo, origin_heard = kLongAgo;
   ListScope scope = ListScope::kCached;
