--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -23,6 +23,8 @@
 #include <utility>
 #include <vector>
 
+#include "policy/cache_group.hpp"
+
 namespace hareramp {
 namespace {
 
@@ -162,8 +164,21 @@
 // Places of nodes by what they are to this director.
 struct SortedNodes {
   std::vector<int> parents;     // of all zones
-  std::vector<int> own_caches;  // of the own zone
+  std::vector<int> own_caches;  // of the own zone, and of the director's group where it uses one
   int origin = kNobody;
+  int cache_groups = 1;  // into which the zone's caches fall (policy/cache_group.hpp)
+};
+
+// How many requests this director gets, looked at now and then.
+struct OwnTraffic {
+  Seconds since = kLongAgo;          // of the first look that saw any
+  double most_requests_in_idle = 0;  // in the time that a connection may rest, while it was busiest
+  bool is_known(Seconds now) const { return since > kLongAgo && now - since >= kSpan; }
+  void look(Seconds now, const Average& sends, Seconds connection_idle) {
+    if (!sends.heard()) return;
+    if (since == kLongAgo) since = now;
+    most_requests_in_idle = std::max(most_requests_in_idle, sends.times_a_second(now) * connection_idle);
+  }
 };
 
 bool holds(const std::vector<int>& list, int node) {
@@ -184,6 +199,7 @@
       : settings(std::move(given)),
         actions(sink),
         chance(static_cast<std::uint_fast32_t>(mix(seed))),
+        director_hash(mix(mix(seed))),
         now(start) {
     for (int i = 0; i < number("RequestClasses.count", 1); ++i) {
       const std::string at = "RequestClasses." + std::to_string(i) + ".";
@@ -248,7 +264,9 @@
     fall_span = number("Contract.FallS", 3);
     parent_limit = number("FamilyInfo.ParentLimitFactor", 2),
     cache_limit = number("Contract.FallMultiple", 2);
-    cache_sharers = std::max(1.0, std::atof(item("FamilyInfo.SeatsByZone", here, "2").c_str()));
+    zone_sharers = std::max(1.0, std::atof(item("FamilyInfo.SeatsByZone", here, "2").c_str()));
+    cache_sharers = zone_sharers;
+    connection_idle = number("Permissions.ConnIdleS", 15);
     sharers_of_all = std::max(1.0, number("Balancers", 4));
     peers_fill = text("FamilyInfo.PeersFill", "none") != "none";
     tells_all = text("FamilyInfo.Tells", "none") == "all";
@@ -274,12 +292,36 @@
     return sorted;
   }
   void sort_nodes() const {
+    const int groups = sorted.cache_groups;
     sorted = SortedNodes();
     for (int n = 0; n < count(); ++n) {
       if (is_parent(n)) sorted.parents.push_back(n);
       if (is_cache(n)) sorted.own_caches.push_back(n);
       if (is_origin(n) && sorted.origin == kNobody) sorted.origin = n;
     }
+    sorted.cache_groups = choose_group_count(zone_figures(), groups);
+    cache_sharers = directors_of_group(zone_sharers, sorted.cache_groups);
+    if (sorted.cache_groups > 1) keep_own_group();
+  }
+  ZoneFigures zone_figures() const {
+    ZoneFigures figures;
+    for (const int n : sorted.own_caches) {
+      if (!listed[n]) continue;
+      ++figures.caches;
+      figures.capacity += full_capacity(n);
+    }
+    figures.directors = zone_sharers;
+    figures.demand = all_sends.per_second(now);
+    figures.traffic_is_known = traffic.is_known(now);
+    figures.requests_in_idle = traffic.most_requests_in_idle;
+    return figures;
+  }
+  // Guards against connections to hundreds of caches in fleets of many times the usual size
+  // (policy/cache_group.hpp). It hurts where few directors have a zone's traffic: objects are held once a
+  // group. The hash over the parents stays whole.
+  void keep_own_group() const {
+    std::erase_if(sorted.own_caches,
+                  [&](int n) { return !in_group(hash[n], director_hash, sorted.cache_groups); });
   }
   const std::vector<int>& of_kind(bool parents) const {
     return parents ? sorted_nodes().parents : sorted_nodes().own_caches;
@@ -974,6 +1016,7 @@
       if (!listed[n] && out_here[n] + out_from[n] == 0 &&
           now - std::max(launched[n], heard_at[n]) > kRemember)
         index.erase(name[n].value), name[n] = NodeId(), zone[n] = kind[n] = -1;
+    traffic.look(now, all_sends, connection_idle);
     sort_out_kinds();
     actions.wake(now + kSweepEvery, {"sweep"});
   }
@@ -982,13 +1025,17 @@
   Settings settings;
   Actions& actions;
   std::knuth_b chance;
+  std::uint64_t director_hash;
   Seconds now;
   std::vector<Grade> grades;
   int here = 0, parent_kind = -1, origin_kind = -1;
   bool can_join = false, direct = false, may_cancel = false, second_copies = false, may_advise = false;
   bool peers_fill = false, tells_all = false, weights_drift = false, weights_unknown = false;
   double max_attempts = 1, parent_from = 0, cache_from = 0, parent_limit = 2, cache_limit = 2;
-  double cache_sharers = 1, sharers_of_all = 1;
+  double zone_sharers = 1, sharers_of_all = 1;
+  mutable double cache_sharers = 1;  // directors that share a cache; follows the groups
+  Seconds connection_idle = 0;
+  OwnTraffic traffic;
   Seconds most_advice = 0, period = 0, purge_done = 0, parent_warms = 0, cache_warms = 0, fall_span = 0;
   std::uint64_t list_turn = 1;
   mutable SortedNodes sorted;
--- /dev/null
+++ b/tests/policy/cache_group_test.cpp
@@ -0,0 +1,126 @@
+// The groups into which a zone's caches fall where it has many times the usual number.
+#include "policy/cache_group.hpp"
+
+#include <random>
+#include <set>
+
+#include "helpers.hpp"
+
+using namespace hareramp;
+
+namespace {
+
+ZoneFigures busy_zone(int caches) {
+  ZoneFigures zone;
+  zone.caches = caches;
+  zone.capacity = 8.0 * caches;
+  zone.directors = 100;
+  zone.demand = 0.5;
+  zone.traffic_is_known = true;
+  zone.requests_in_idle = 750;
+  return zone;
+}
+
+std::string cache_names(int count) {
+  std::string names;
+  for (int i = 0; i < count; ++i) names += "c" + std::to_string(i) + " ";
+  return names;
+}
+
+struct Asked {
+  std::set<std::string> caches;
+  std::vector<std::string> parents;  // by request
+};
+
+// A director before so many caches of its own zone, and whom it asks for 2,000 objects.
+Asked asked_of(int caches) {
+  Rig rig;
+  rig.list(ListScope::kFull, cache_names(caches) + "P1 P2 P3 O");
+  Asked asked;
+  for (int object = 0; object < 2000; ++object) {
+    const std::string id = "r" + std::to_string(object);
+    rig.request(id, static_cast<std::uint64_t>(object), 0, 1);
+    asked.caches.insert(rig.node_of[id][0]);
+    asked.parents.push_back(rig.source_of[id]);
+    rig.ends(id, 0, Result::kCompleted, Note::kHit, 0.001);
+  }
+  return asked;
+}
+
+}  // namespace
+
+TEST_CASE("a director uses one group of a large zone's caches, all of a usual one, and the same parents") {
+  const Asked usual = asked_of(200), large = asked_of(640);
+  CHECK(usual.caches.size() == 200);
+  CHECK(large.caches.size() >= 25);
+  CHECK(large.caches.size() <= 72);
+  CHECK(large.parents == usual.parents);
+}
+
+TEST_CASE("groups have 36 to 72 caches on average, and zones of up to 200 are not divided") {
+  for (int caches = 1; caches <= 3200; ++caches) {
+    const int groups = choose_group_count(busy_zone(caches), 1);
+    if (caches <= 200) {
+      CHECK(groups == 1);
+    } else {
+      CHECK(caches >= 36 * groups);
+      CHECK(caches < 72 * groups);
+    }
+  }
+}
+
+TEST_CASE("a zone is divided no further than its directors' work allows") {
+  ZoneFigures zone = busy_zone(640);
+  CHECK(choose_group_count(zone, 1) == 16);
+  zone.directors = 1;  // 5,120 transfers' capacity for one director
+  zone.demand = 80;
+  CHECK(choose_group_count(zone, 1) == 16);
+  zone.demand = 200;  // 4 times that fit into a quarter of the zone, not into an eighth
+  CHECK(choose_group_count(zone, 1) == 4);
+  zone.demand = 2000;
+  CHECK(choose_group_count(zone, 1) == 1);
+}
+
+TEST_CASE("a director with few requests uses the whole zone, once that is known") {
+  ZoneFigures zone = busy_zone(640);
+  zone.requests_in_idle = 20;
+  CHECK(choose_group_count(zone, 16) == 1);
+  zone.traffic_is_known = false;
+  CHECK(choose_group_count(zone, 1) == 16);
+}
+
+TEST_CASE("a zone whose size varies about a bound stays divided as it is") {
+  CHECK(choose_group_count(busy_zone(575), 1) == 8);
+  CHECK(choose_group_count(busy_zone(576), 8) == 16);
+  CHECK(choose_group_count(busy_zone(575), 16) == 16);
+  CHECK(choose_group_count(busy_zone(431), 16) == 8);
+  CHECK(choose_group_count(busy_zone(199), 4) == 4);
+  CHECK(choose_group_count(busy_zone(150), 4) == 1);
+}
+
+TEST_CASE("each cache is in one group, and half a group stays when groups divide") {
+  std::mt19937_64 random(1);
+  for (int i = 0; i < 1000; ++i) {
+    const std::uint64_t cache = random(), director = random();
+    int groups_with_it = 0;
+    for (std::uint64_t group = 0; group < 16; ++group) groups_with_it += in_group(cache, group << 32, 16);
+    CHECK(groups_with_it == 1);
+    CHECK((!in_group(cache, director, 16) || in_group(cache, director, 8)));
+    CHECK(in_group(cache, director, 1));
+  }
+}
+
+TEST_CASE("all directors of a zone together use its caches about evenly") {
+  constexpr int kDirectors = 1600, kGroups = 16, kMean = kDirectors / kGroups;
+  std::mt19937_64 random(1);
+  std::vector<std::uint64_t> directors(kDirectors);
+  for (std::uint64_t& director : directors) director = random();
+  for (std::uint64_t group = 0; group < kGroups; ++group) {
+    int sharers = 0;
+    for (const std::uint64_t director : directors) sharers += in_group(group << 32, director, kGroups);
+    CHECK(sharers >= kMean / 2);
+    CHECK(sharers <= directors_of_group(kDirectors, kGroups));
+  }
+  CHECK(directors_of_group(100, 1) == 100);
+  CHECK(directors_of_group(1, 16) == 1);
+}
