--- a/src/distribution/snapshot.hpp
+++ b/src/distribution/snapshot.hpp
@@ -3,6 +3,7 @@
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <string>
@@ -15,8 +16,10 @@
 
 class Snapshot {
  public:
-  // A purge is kept for its lifetime from when it came. The issuer's stamp in it is not read: that clock, or
-  // ours, may have been stepped.
+  // A purge is kept for its lifetime from when it came. Its stamp is of the issuer's clock, which may be
+  // stepped as ours may, so the two are never compared. In a backlog a purge goes sooner where the source's
+  // later stamps alone show that its lifetime is over: as long as each lies close to the one before, no step
+  // is among them.
   Snapshot(transport::Seconds purge_lifetime, std::size_t purges_most);
 
   // Of two purges of one subject the later event counts, whatever their stamps say.
@@ -45,8 +48,13 @@
     transport::Seconds at = 0;
     PurgeSubject subject;
     long long number = 0;
+    transport::Seconds issued = 0;  // by its stamp
+    std::uint64_t stamp_run = 0;
   };
 
+  void note_stamp(transport::Seconds issued);
+  bool is_over(const Expiry& expiry, transport::Seconds now) const;
+
   transport::Seconds purge_lifetime_;
   std::size_t purges_most_;
   bool has_list_ = false;
@@ -55,6 +63,8 @@
   std::map<std::string, std::string> nodes_;  // entries by id
   std::map<PurgeSubject, LivePurge> purges_;
   std::deque<Expiry> expiries_;  // in order
+  transport::Seconds last_issued_ = 0;
+  std::uint64_t stamp_run_ = 0;  // of stamps that each lie close to the one before
 };
 
 }  // namespace hareramp::distribution
--- a/tests/distribution/relay_test.cpp
+++ b/tests/distribution/relay_test.cpp
@@ -239,6 +239,42 @@
   CHECK(rig.relay.live_purges() == 0);
 }
 
+TEST_CASE("an hour of purges in one backlog: what its own stamps show to be over is not held") {
+  RelayRig rig;
+  rig.list(1, "a");
+  constexpr long long kPurges = 36'000;  // one each 0.1 s
+  std::size_t most = 0;
+  for (long long number = 2; number <= kPurges + 1; ++number) {
+    const double issued = kUnix - 3600 + 0.1 * static_cast<double>(number);
+    rig.changes({numbered_change(number, purge_members(static_cast<std::uint64_t>(number), issued * 1000))});
+    most = std::max(most, rig.relay.live_purges());
+  }
+  CHECK(most > 100);  // the lifetime of 10 s
+  CHECK(most < 200);
+}
+
+TEST_CASE("a step of the issuer's clock shows nothing: live purges stay, whatever is stamped after it") {
+  for (const double step : {-3600.0, -5.0, 5.0, 3600.0}) {
+    RelayRig rig;
+    rig.list(1, "a");
+    for (long long number = 2; number <= 20; ++number) rig.purge(number);
+    // 100 s of stamps after the step, all within a moment, as a source begun anew would tell its backlog.
+    for (long long number = 21; number <= 1020; ++number) {
+      const double issued = kUnix + step + 0.1 * static_cast<double>(number);
+      rig.changes(
+          {numbered_change(number, purge_members(static_cast<std::uint64_t>(number), issued * 1000))});
+    }
+    CHECK_MESSAGE(rig.relay.live_purges() >= 19 + 100, "step " << step);
+    StreamReader reader;
+    rig.tick();
+    rig.join(1, reader);
+    rig.tick();
+    CHECK_MESSAGE(reader.purges.contains(2), "step " << step);
+    rig.pass(10.1);
+    CHECK(rig.relay.live_purges() == 0);
+  }
+}
+
 TEST_CASE("a source that began anew: numbers still rise, and its list replaces the old one") {
   RelayRig rig;
   StreamReader reader;
