--- a/src/routing/module.cpp
+++ b/src/routing/module.cpp
@@ -10,7 +10,7 @@
 using transport::Task;
 
 namespace {
-// Between looks whether a backlog of changes, which goes first after the process stood still, is over.
+// s between looks whether what goes first after the process stood still is over.
 constexpr Seconds kHoldLook = 0.005;
 // s: a purge counts as just issued. Its stamp is of the issuer's clock, and either clock may have been
 // stepped: an age taken from the two could say that a purge is long over while copies from before it are
@@ -134,7 +134,7 @@
 Task<> ModuleActor::live(ModuleActor& self) {
   for (auto call = co_await self.mailbox_.next(); call; call = co_await self.mailbox_.next()) {
     while (Scheduler::now() < std::min(self.held_until_, self.deadlines_end_))
-      co_await self.scheduler_.sleep_until(std::min(self.held_until_, self.deadlines_end_));
+      co_await self.scheduler_.sleep_until(std::min(self.held_until_, Scheduler::now() + kHoldLook));
     while (self.changes_wait_ &&
            Scheduler::now() < std::min(self.held_until_ + self.limits_.changes_hold, self.deadlines_end_))
       co_await self.scheduler_.sleep_until(Scheduler::now() + kHoldLook);
