--- a/src/flows_tool/archive.cpp
+++ b/src/flows_tool/archive.cpp
@@ -22,6 +22,12 @@
 constexpr double kFuture =
     2 * 3600;                      // s that an exporter's clock may be ahead; beyond, it would fill the disk
 constexpr double kLookEvery = 30;  // s between looks for old partitions
+// s by which this machine's clock may be wrong against the exporters', as after a start with a wrong clock:
+// so much longer nothing is taken for old.
+constexpr double kClockTolerance = 3600;
+constexpr double kFirstPause = 0.2;  // s after a failure of the disk, doubling up to the longest
+constexpr double kLongestPause = 10;
+constexpr std::size_t kRowsAtOnce = 2048;  // in a transaction: a few ms of work
 
 constexpr const char* kSchema = R"(
 CREATE TABLE IF NOT EXISTS messages(id INTEGER PRIMARY KEY, exporter TEXT, domain INTEGER, version INTEGER,
@@ -42,9 +48,11 @@
 
 }  // namespace
 
+bool DatabaseError::is_damage() const { return code == SQLITE_CORRUPT || code == SQLITE_NOTADB; }
+
 Statement::Statement(sqlite3* database, const std::string& text) : database_(database) {
-  if (sqlite3_prepare_v2(database, text.c_str(), -1, &raw_, nullptr) != SQLITE_OK)
-    throw std::runtime_error(sqlite3_errmsg(database));
+  const int result = sqlite3_prepare_v2(database, text.c_str(), -1, &raw_, nullptr);
+  if (result != SQLITE_OK) throw DatabaseError(result, sqlite3_errmsg(database));
 }
 Statement::~Statement() { sqlite3_finalize(raw_); }
 Statement& Statement::bind(int place, std::int64_t value) {
@@ -65,7 +73,7 @@
   if (code == SQLITE_DONE) return false;
   const std::string words = sqlite3_errmsg(database_);
   sqlite3_reset(raw_);
-  throw std::runtime_error(words);
+  throw DatabaseError(code, words);
 }
 void Statement::reset() { sqlite3_reset(raw_); }
 std::int64_t Statement::whole(int column) const { return sqlite3_column_int64(raw_, column); }
@@ -79,20 +87,32 @@
 
 Database::Database(const std::string& path, bool write) {
   const int flags = write ? SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE : SQLITE_OPEN_READONLY;
-  if (sqlite3_open_v2(path.c_str(), &raw_, flags, nullptr) != SQLITE_OK) {
+  const int result = sqlite3_open_v2(path.c_str(), &raw_, flags, nullptr);
+  if (result != SQLITE_OK) {
     const std::string words = path + ": " + sqlite3_errmsg(raw_);
     sqlite3_close(raw_);
-    throw std::runtime_error(words);
+    throw DatabaseError(result, words);
   }
   sqlite3_busy_timeout(raw_, 5000);
 }
 Database::~Database() { sqlite3_close(raw_); }
 void Database::run(const char* text) {
   char* error = nullptr;
-  if (sqlite3_exec(raw_, text, nullptr, nullptr, &error) == SQLITE_OK) return;
+  const int result = sqlite3_exec(raw_, text, nullptr, nullptr, &error);
+  if (result == SQLITE_OK) return;
   const std::string words = error ? error : "?";
   sqlite3_free(error);
-  throw std::runtime_error(words);
+  throw DatabaseError(result, words);
+}
+bool Database::has_schema() {
+  try {
+    Statement version(raw_, "PRAGMA user_version");
+    return version.step() && version.whole(0) > 0;
+  } catch (const DatabaseError& failure) {
+    // A kill before the write-ahead log was set up left a journal, which only a writer may roll back.
+    if (failure.code == SQLITE_READONLY) return false;
+    throw;
+  }
 }
 int Database::changes() const { return sqlite3_changes(raw_); }
 
@@ -108,21 +128,22 @@
         add_run(database.raw(), "INSERT OR IGNORE INTO runs VALUES(?,?,?)") {}
 
   static bool prepare(Database& database) {
-    database.run("PRAGMA journal_mode=WAL; PRAGMA synchronous=NORMAL;");
+    {
+      Statement journal(database.raw(), "PRAGMA journal_mode=WAL");
+      if (!journal.step() || journal.text(0) != "wal")
+        throw DatabaseError(SQLITE_IOERR, "no write-ahead log");
+    }
+    database.run("PRAGMA synchronous=NORMAL");
+    // In one transaction: a reader and a kill find all of it or nothing.
+    database.run("BEGIN IMMEDIATE");
     database.run(kSchema);
+    database.run("COMMIT");
     return true;
   }
-  void begin() {
-    if (!std::exchange(changing, true)) database.run("BEGIN IMMEDIATE");
-  }
-  void commit() {
-    if (!std::exchange(changing, false)) return;
-    try {
-      database.run("COMMIT");
-    } catch (...) {  // nothing of it is kept, and the next transaction can begin
-      sqlite3_exec(database.raw(), "ROLLBACK", nullptr, nullptr, nullptr);
-      throw;
-    }
+  // In the first transaction of a partition that was opened: what was named before it began.
+  void write_names(const std::map<NameKey, std::string>& names) {
+    if (names_written) return;
+    for (const auto& [key, name] : names) write_name(key, name);
   }
   void write_name(const NameKey& key, const std::string& name) {
     add_name.bind(1, std::get<0>(key)).bind(2, std::int64_t{std::get<1>(key)});
@@ -132,7 +153,7 @@
   }
 
   Database database;
-  bool ready, changing = false;
+  bool ready, names_written = false;
   Statement add_message, add_flow, add_name, add_not_sent, add_run;
 };
 
@@ -140,67 +161,173 @@
     : directory_(directory), bounds_(bounds) {
   files::create_directories(directory);
 }
-Archive::~Archive() {
-  for (const auto& [hour, held] : open_) {
-    try {
-      held->commit();
-    } catch (const std::exception&) {  // the disk is full, say: what was committed before is there
-    }
-  }
-}
+Archive::~Archive() { finish(); }
 
-Archive::Partition* Archive::partition(std::int64_t hour) {
-  const auto found = open_.find(hour);
-  if (found != open_.end()) return found->second.get();
-  while (open_.size() >= bounds_.open) {
-    open_.begin()->second->commit();
-    open_.erase(open_.begin());
-  }
+std::int64_t Archive::Message::hour() const { return static_cast<std::int64_t>(head.export_time / kHour); }
+
+std::string Archive::path_of(std::int64_t hour) const {
   const auto name =
       fmt::format("flows-{:%Y%m%dT%H}.sqlite", fmt::gmtime(static_cast<std::time_t>(hour * 3600)));
-  auto made = std::make_unique<Partition>((files::path(directory_) / name).string());
-  made->begin();
-  for (const auto& [key, text] : names_) made->write_name(key, text);
-  return open_.emplace(hour, std::move(made)).first->second.get();
+  return (files::path(directory_) / name).string();
+}
+
+Archive::Partition& Archive::partition(std::int64_t hour) {
+  const auto found = open_.find(hour);
+  if (found != open_.end()) return *found->second;
+  while (open_.size() >= bounds_.open) open_.erase(open_.begin());
+  auto made = std::make_unique<Partition>(path_of(hour));
+  return *open_.emplace(hour, std::move(made)).first->second;
 }
 
-bool Archive::begin(const std::string& exporter, const MessageHead& head, double now) {
-  current_ = nullptr;
+// Guards against a damaged file that would hold back all that comes after it: a new one is begun.
+void Archive::move_aside(std::int64_t hour) {
+  const std::string path = path_of(hour);
+  std::error_code ignored;  // where it can't be moved, the next try finds it and fails again
+  files::rename(path, path + ".damaged", ignored);
+  for (const char* end : {"-wal", "-shm"}) files::remove(path + end, ignored);
+  ++counts_.damaged;
+}
+
+bool Archive::begin(const std::string& exporter, const MessageHead& head, const ClockReading& now) {
+  current_.reset();
+  begun_at_ = now.steady;
   // Guards against an exporter whose clock is far off: a partition for each hour it makes up, or none kept.
-  if (head.export_time > now + kFuture || head.export_time < now - bounds_.keep_hours * kHour) {
+  const double oldest = now.earliest() - bounds_.keep_hours * kHour - kClockTolerance;
+  if (head.export_time > now.latest() + kFuture || head.export_time < oldest) {
     ++counts_.too_far;
     return false;
   }
-  try {
-    Partition* held = partition(static_cast<std::int64_t>(head.export_time / kHour));
-    held->begin();
-    held->add_message.bind(1, exporter)
-        .bind(2, std::int64_t{head.domain})
-        .bind(3, std::int64_t{head.version});
-    held->add_message.bind(4, std::int64_t{head.sequence}).bind(5, std::int64_t{head.export_time});
-    held->add_message.bind(6, signed_of(head.bytes));
-    held->add_message.step();
-    held->add_message.reset();
-    if (held->database.changes() == 0) {
-      ++counts_.duplicates;
-      return false;
-    }
-    message_ = sqlite3_last_insert_rowid(held->database.raw());
-    current_ = held;
-  } catch (const std::exception&) {
+  if (full()) {
     ++counts_.failed;
     return false;
   }
-  ++counts_.messages;
-  exporter_ = exporter;
-  domain_ = head.domain;
+  current_ = std::make_unique<Message>();
+  current_->exporter = exporter;
+  current_->head = head;
   return true;
 }
 
 void Archive::flow(const FlowRow& row) {
+  if (current_) current_->flows.push_back(row);
+}
+void Archive::name(const NameRow& row) {
+  if (current_) current_->names.push_back(row);
+}
+void Archive::not_sent(const NotSentRow& row) {
+  if (current_) current_->not_sent.push_back(row);
+}
+void Archive::run_started(double started) {
+  if (current_) current_->runs.push_back(started);
+}
+
+void Archive::end() {
   if (!current_) return;
-  Statement& add = current_->add_flow;
-  add.bind(1, message_).bind(2, signed_of(row.id)).bind(3, row.initiator);
+  rows_waiting_ += current_->rows();
+  waiting_.push_back(std::move(*current_));
+  current_.reset();
+  if (rows_waiting_ >= kRowsAtOnce) store_waiting(begun_at_);
+}
+
+void Archive::commit(const ClockReading& now) {
+  store_waiting(now.steady);
+  if (now.steady < looked_at_ + kLookEvery) return;
+  looked_at_ = now.steady;
+  remove_old(now);
+}
+
+std::size_t Archive::finish() {
+  again_at_ = 0;
+  store_waiting(again_at_);
+  return waiting_.size();
+}
+
+// Guards against a disk that takes nothing for a while: what was not committed stays in memory. A partition
+// that failed is opened anew at the next try, whatever state SQLite has left it in.
+void Archive::store_waiting(double steady_now) {
+  if (steady_now < again_at_) return;
+  while (!waiting_.empty()) {
+    const std::int64_t hour = waiting_.front().hour();
+    bool is_damage = false;
+    try {
+      store_some();
+      pause_ = 0;
+      continue;
+    } catch (const DatabaseError& failure) {
+      last_error_ = failure.what();
+      is_damage = failure.is_damage();
+    }
+    ++counts_.commits_failed;
+    open_.erase(hour);
+    if (is_damage) move_aside(hour);
+    pause_ = pause_ == 0 ? kFirstPause : std::min(2 * pause_, kLongestPause);
+    again_at_ = steady_now + pause_;
+    return;
+  }
+}
+
+// The first of those that wait, as many as belong to one hour and go into one transaction.
+void Archive::store_some() {
+  const std::int64_t hour = waiting_.front().hour();
+  Partition& held = partition(hour);
+  held.database.run("BEGIN IMMEDIATE");
+  held.write_names(names_);
+  ArchiveCounts made;
+  std::size_t rows = 0;
+  std::size_t taken = 0;
+  for (; taken < waiting_.size() && rows < kRowsAtOnce && waiting_[taken].hour() == hour; ++taken) {
+    const Message& message = waiting_[taken];
+    rows += message.rows();
+    if (store_message(held, message)) {
+      ++made.messages;
+      made.flows += message.flows.size();
+    } else {
+      ++made.duplicates;
+    }
+  }
+  held.database.run("COMMIT");
+  held.names_written = true;
+  counts_.messages += made.messages;
+  counts_.flows += made.flows;
+  counts_.duplicates += made.duplicates;
+  rows_waiting_ -= rows;
+  waiting_.erase(waiting_.begin(), waiting_.begin() + static_cast<std::ptrdiff_t>(taken));
+}
+
+// False: it is there already.
+bool Archive::store_message(Partition& held, const Message& message) {
+  const MessageHead& head = message.head;
+  Statement& add = held.add_message;
+  add.bind(1, message.exporter).bind(2, std::int64_t{head.domain}).bind(3, std::int64_t{head.version});
+  add.bind(4, std::int64_t{head.sequence}).bind(5, std::int64_t{head.export_time});
+  add.bind(6, signed_of(head.bytes));
+  add.step();
+  add.reset();
+  if (held.database.changes() == 0) return false;
+  const std::int64_t number = sqlite3_last_insert_rowid(held.database.raw());
+  for (const FlowRow& row : message.flows) store_flow(held, number, row);
+  for (const NameRow& row : message.names) {
+    const NameKey key{message.exporter, head.domain, row.kind, row.number};
+    remember_name(key, row.name);
+    held.write_name(key, row.name);
+  }
+  for (const NotSentRow& row : message.not_sent) {
+    Statement& not_sent = held.add_not_sent;
+    not_sent.bind(1, message.exporter).bind(2, std::int64_t{head.domain}).bind(3, row.collector);
+    not_sent.bind(4, signed_of(row.flows)).bind(5, signed_of(row.packets)).bind(6, signed_of(row.octets));
+    not_sent.step();
+    not_sent.reset();
+  }
+  for (const double started : message.runs) {
+    held.add_run.bind(1, message.exporter).bind(2, std::int64_t{head.domain}).bind(3, started);
+    held.add_run.step();
+    held.add_run.reset();
+  }
+  return true;
+}
+
+void Archive::store_flow(Partition& held, std::int64_t message, const FlowRow& row) {
+  Statement& add = held.add_flow;
+  add.bind(1, message).bind(2, signed_of(row.id)).bind(3, row.initiator);
   add.bind(4, std::int64_t{row.initiator_port})
       .bind(5, row.responder)
       .bind(6, std::int64_t{row.responder_port});
@@ -224,51 +351,22 @@
   for (std::size_t i = 0; i < numbers.size(); ++i) add.bind(static_cast<int>(9 + i), signed_of(numbers[i]));
   add.step();
   add.reset();
-  ++counts_.flows;
 }
 
-void Archive::name(const NameRow& row) {
-  if (!current_) return;
-  const NameKey key{exporter_, domain_, row.kind, row.number};
+void Archive::remember_name(const NameKey& key, const std::string& name) {
   const auto found = names_.find(key);
   if (found == names_.end() && names_.size() >= bounds_.names) names_.erase(names_.begin());
-  names_[key] = row.name;
-  current_->write_name(key, row.name);
-}
-
-void Archive::not_sent(const NotSentRow& row) {
-  if (!current_) return;
-  Statement& add = current_->add_not_sent;
-  add.bind(1, exporter_).bind(2, std::int64_t{domain_}).bind(3, row.collector);
-  add.bind(4, signed_of(row.flows)).bind(5, signed_of(row.packets)).bind(6, signed_of(row.octets));
-  add.step();
-  add.reset();
-}
-
-void Archive::run_started(double started) {
-  if (!current_) return;
-  current_->add_run.bind(1, exporter_).bind(2, std::int64_t{domain_}).bind(3, started);
-  current_->add_run.step();
-  current_->add_run.reset();
-}
-
-void Archive::end() { current_ = nullptr; }
-
-void Archive::commit(double now) {
-  for (const auto& [hour, held] : open_) held->commit();
-  if (now < looked_at_ + kLookEvery) return;
-  looked_at_ = now;
-  remove_old(now);
+  names_[key] = name;
 }
 
 // The oldest hours go, whole files at a time; the newest stays whatever its size.
-void Archive::remove_old(double now) {
+void Archive::remove_old(const ClockReading& now) {
   std::vector<std::string> all = partitions(directory_);
   std::uint64_t bytes = 0;
   for (const std::string& path : all) bytes += files::file_size(path);
-  const std::string oldest =
-      fmt::format("flows-{:%Y%m%dT%H}.sqlite",
-                  fmt::gmtime(static_cast<std::time_t>(std::max(0.0, now - bounds_.keep_hours * kHour))));
+  const double kept_from = now.earliest() - bounds_.keep_hours * kHour - kClockTolerance;
+  const std::string oldest = fmt::format("flows-{:%Y%m%dT%H}.sqlite",
+                                         fmt::gmtime(static_cast<std::time_t>(std::max(0.0, kept_from))));
   for (std::size_t i = 0; i + 1 < all.size(); ++i) {
     if (files::path(all[i]).filename().string() >= oldest && bytes <= bounds_.bytes) break;
     bytes -= files::file_size(all[i]);
@@ -315,6 +413,7 @@
   for (const std::string& path : partitions(directory)) {
     Database database(path, false);
     database.run("BEGIN");
+    if (!database.has_schema()) continue;
     Statement name(database.raw(), "SELECT exporter, domain, kind, number, name FROM names");
     while (name.step()) names[{name.text(0), name.whole(1), name.whole(2), name.whole(3)}] = name.text(4);
     Statement rows(database.raw(), fmt::format(R"(
--- a/src/flows_tool/archive.hpp
+++ b/src/flows_tool/archive.hpp
@@ -1,12 +1,17 @@
 // The archive of flow records: SQLite files, one for each hour of export time, in a directory. Readable while
 // it is written, and whole after a kill: a message is there with all its records or not at all, and one that
-// comes again counts once.
+// comes again counts once. What the disk does not take waits in memory, within a bound, and is tried again;
+// beyond the bound messages are refused and counted.
 #pragma once
 
+#include <algorithm>
+#include <cstddef>
 #include <cstdint>
+#include <deque>
 #include <functional>
 #include <map>
 #include <memory>
+#include <stdexcept>
 #include <string>
 #include <vector>
 
@@ -17,7 +22,15 @@
 
 namespace hareramp::flows_tool {
 
-// A prepared statement; throws std::runtime_error with SQLite's words.
+// What SQLite says of a failure.
+struct DatabaseError : std::runtime_error {
+  DatabaseError(int sqlite_code, const std::string& words) : std::runtime_error(words), code(sqlite_code) {}
+  // The file holds no database that could be read: to try again is of no use.
+  bool is_damage() const;
+  int code;  // SQLITE_FULL, SQLITE_IOERR, ...
+};
+
+// A prepared statement; throws DatabaseError.
 class Statement {
  public:
   Statement(sqlite3* database, const std::string& text);
@@ -45,6 +58,7 @@
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
   void run(const char* text);
+  bool has_schema();  // false: a partition that is just being made, with nothing in it
   int changes() const;
   sqlite3* raw() const { return raw_; }
 
@@ -55,12 +69,26 @@
 struct ArchiveBounds {
   double keep_hours = 24 * 31;
   std::uint64_t bytes = std::uint64_t{10} << 30;
-  std::size_t open = 4;         // partitions at once
-  std::size_t names = 1 << 18;  // held to be written into each new partition
+  std::size_t open = 4;                // partitions at once
+  std::size_t names = 1 << 18;         // held to be written into each new partition
+  std::size_t waiting_rows = 1 << 16;  // in memory while the disk takes nothing: some 20 MB
 };
 
 struct ArchiveCounts {
-  std::uint64_t messages = 0, duplicates = 0, flows = 0, removed = 0, too_far = 0, failed = 0;
+  std::uint64_t messages = 0, duplicates = 0, flows = 0, removed = 0, too_far = 0;
+  std::uint64_t failed = 0;          // messages refused: too much waits for the disk
+  std::uint64_t commits_failed = 0;  // tried again later
+  std::uint64_t damaged = 0;         // partitions moved aside
+};
+
+// The time by two clocks, in Unix seconds: one that starts at the system's and then only goes forward, and
+// the system's own, which may be set at any moment. Where they differ neither is sure.
+struct ClockReading {
+  ClockReading(double both) : steady(both), wall(both) {}
+  ClockReading(double steady_now, double wall_now) : steady(steady_now), wall(wall_now) {}
+  double earliest() const { return std::min(steady, wall); }
+  double latest() const { return std::max(steady, wall); }
+  double steady, wall;
 };
 
 class Archive {
@@ -68,33 +96,60 @@
   Archive(const std::string& directory, const ArchiveBounds& bounds);
   ~Archive();
 
-  // A message's records come between begin and end. False: it is there already, or can't be kept.
-  bool begin(const std::string& exporter, const MessageHead& head, double now);
+  // A message's records come between begin and end. False: it can't be kept, and is counted.
+  bool begin(const std::string& exporter, const MessageHead& head, const ClockReading& now);
   void flow(const FlowRow& row);
   void name(const NameRow& row);
   void not_sent(const NotSentRow& row);
   void run_started(double started);
   void end();
 
-  // Makes what has come readable and lasting; old partitions go.
-  void commit(double now);
+  // Makes what has come readable and lasting, unless the disk has just failed and is left alone; old
+  // partitions go.
+  void commit(const ClockReading& now);
+  // Gives the disk a last chance; returns how many messages it did not take, which are lost.
+  std::size_t finish();
+  // No message is taken until the disk takes what waits.
+  bool full() const { return rows_waiting_ >= bounds_.waiting_rows; }
+  std::size_t waiting() const { return waiting_.size(); }  // messages
+  const std::string& last_error() const { return last_error_; }
   const ArchiveCounts& counts() const { return counts_; }
 
  private:
   struct Partition;
+  struct Message {
+    std::string exporter;
+    MessageHead head;
+    std::vector<FlowRow> flows;
+    std::vector<NameRow> names;
+    std::vector<NotSentRow> not_sent;
+    std::vector<double> runs;
+    std::size_t rows() const { return 1 + flows.size() + names.size() + not_sent.size() + runs.size(); }
+    std::int64_t hour() const;
+  };
   using NameKey = std::tuple<std::string, std::uint32_t, int, std::uint32_t>;
-  Partition* partition(std::int64_t hour);
-  void remove_old(double now);
+  Partition& partition(std::int64_t hour);
+  void store_waiting(double steady_now);
+  void store_some();
+  bool store_message(Partition& held, const Message& message);
+  void store_flow(Partition& held, std::int64_t message, const FlowRow& row);
+  void move_aside(std::int64_t hour);
+  std::string path_of(std::int64_t hour) const;
+  void remember_name(const NameKey& key, const std::string& name);
+  void remove_old(const ClockReading& now);
 
   std::string directory_;
   ArchiveBounds bounds_;
   ArchiveCounts counts_;
   std::map<std::int64_t, std::unique_ptr<Partition>> open_;
   std::map<NameKey, std::string> names_;
-  Partition* current_ = nullptr;
-  std::int64_t message_ = 0;
-  std::string exporter_;
-  std::uint32_t domain_ = 0;
+  std::unique_ptr<Message> current_;
+  std::deque<Message> waiting_;  // for the disk, in the order of their coming
+  std::size_t rows_waiting_ = 0;
+  std::string last_error_;
+  double begun_at_ = 0;  // the time of the last begin()
+  double again_at_ = 0;  // the disk is left alone until then
+  double pause_ = 0;     // the last such pause; 0: the disk works
   double looked_at_ = 0;
 };
 
--- a/src/flows_tool/collector.cpp
+++ b/src/flows_tool/collector.cpp
@@ -5,8 +5,6 @@
 #include <utility>
 #include <vector>
 
-#include "transport/clock.hpp"
-
 namespace hareramp::flows_tool {
 
 using transport::kNever;
@@ -18,7 +16,8 @@
 constexpr std::size_t kReadRoom = 65536;  // bytes
 constexpr double kExporterIdle = 3600;    // s that a TCP exporter may say nothing
 constexpr std::size_t kExportersHeard = 65536;
-constexpr std::size_t kTurn = 200;  // datagrams before the others' turn
+constexpr double kFullAgain = 0.005;  // s between looks whether the disk takes rows again
+constexpr std::size_t kTurn = 200;    // datagrams before the others' turn
 
 std::string without_port(const std::string& address) { return address.substr(0, address.rfind(':')); }
 }  // namespace
@@ -49,7 +48,7 @@
 Task<> Collector::commit(Collector& self, double every) {
   for (;;) {
     co_await self.scheduler_.sleep_until(Scheduler::now() + every);
-    self.keep([&] { self.archive_.commit(transport::Clock::unix_now()); });
+    self.keep([&] { self.archive_.commit(self.now()); });
   }
 }
 
@@ -97,6 +96,8 @@
     while (self.paused_) co_await self.scheduler_.sleep_until(Scheduler::now() + 0.005);
     if (!(co_await socket.read(in, kReadRoom, Scheduler::now() + kExporterIdle)).ok()) break;
     while (readable) {
+      // What waits for the disk is bounded: the exporter keeps the rest, and sends it when there is room.
+      while (self.archive_.full()) co_await self.scheduler_.sleep_until(Scheduler::now() + kFullAgain);
       const auto length = Decoder::length(in.view());
       if (!length || (*length > 0 && in.size() < *length)) break;
       self.exporter_ = without_port(from);
@@ -110,7 +111,7 @@
 }
 
 bool Collector::message(const MessageHead& head) {
-  archive_.begin(exporter_, head, transport::Clock::unix_now());
+  archive_.begin(exporter_, head, now());
   return true;  // names and types are of use, also from a message that came before
 }
 void Collector::record(const MessageHead& head, std::uint16_t, const std::vector<Value>& values,
@@ -118,8 +119,8 @@
   rows_.record(head, values, scope);
 }
 void Collector::message_ends(const MessageHead&) { archive_.end(); }
-// Guards against a disk that takes nothing: a row that can't be kept is counted, and collecting goes on. The
-// message it belongs to is then kept in part.
+// Guards against a folder that can't be read, or from which old partitions can't be removed: it is counted,
+// and collecting goes on.
 template <class Write>
 void Collector::keep(const Write& write) {
   try {
@@ -128,20 +129,14 @@
     ++counts_.not_kept;
   }
 }
-void Collector::flow(const MessageHead&, const FlowRow& row) {
-  keep([&] { archive_.flow(row); });
-}
-void Collector::name(const MessageHead&, const NameRow& row) {
-  keep([&] { archive_.name(row); });
-}
+void Collector::flow(const MessageHead&, const FlowRow& row) { archive_.flow(row); }
+void Collector::name(const MessageHead&, const NameRow& row) { archive_.name(row); }
 void Collector::not_sent(const MessageHead& head, const NotSentRow& row) {
-  keep([&] { archive_.not_sent(row); });
+  archive_.not_sent(row);
   const std::string key = fmt::format("{}/{} {}", exporter_, head.domain, row.collector);
   if (not_sent_.size() < kExportersHeard || not_sent_.contains(key)) not_sent_[key] = row;
 }
-void Collector::exporter(const MessageHead&, double started, std::uint64_t) {
-  keep([&] { archive_.run_started(started); });
-}
+void Collector::exporter(const MessageHead&, double started, std::uint64_t) { archive_.run_started(started); }
 
 std::string Collector::counts_line() const {
   const DecoderCounts& d = decoder_.counts();
@@ -153,12 +148,12 @@
       "too_many={} "
       "sessions={} sessions_forgotten={} datagrams={} connections={} refused={} closed_bad={} "
       "partitions_removed={} "
-      "too_far={} archive_failed={} not_kept={}",
+      "too_far={} archive_failed={} not_kept={} waiting={} commits_failed={}",
       d.messages, d.records, a.flows, a.duplicates, d.lost, d.out_of_order, d.restarts, d.no_template,
       d.templates, d.redefined, d.withdrawn, d.bad_version, d.bad_length, d.bad_set, d.bad_template,
       d.bad_record, d.too_many, decoder_.sessions(), d.sessions_forgotten, counts_.datagrams,
       counts_.connections, counts_.refused, counts_.closed_bad, a.removed, a.too_far, a.failed,
-      counts_.not_kept);
+      counts_.not_kept, archive_.waiting(), a.commits_failed);
 }
 
 }  // namespace hareramp::flows_tool
--- a/src/flows_tool/collector.hpp
+++ b/src/flows_tool/collector.hpp
@@ -9,6 +9,7 @@
 #include "flows_tool/archive.hpp"
 #include "flows_tool/decoder.hpp"
 #include "flows_tool/rows.hpp"
+#include "transport/clock.hpp"
 #include "transport/scheduler.hpp"
 #include "transport/socket.hpp"
 
@@ -37,6 +38,7 @@
   void pause(bool paused) { paused_ = paused; }
 
  private:
+  ClockReading now() const { return {clock_.now(), transport::Clock::unix_now()}; }
   template <class Write>
   void keep(const Write& write);
   bool message(const MessageHead& head) override;
@@ -55,6 +57,7 @@
 
   transport::Scheduler& scheduler_;
   Archive& archive_;
+  transport::Clock clock_;
   Decoder decoder_;
   Rows rows_;
   CollectorCounts counts_;
--- a/src/flows_tool/main.cpp
+++ b/src/flows_tool/main.cpp
@@ -68,6 +68,11 @@
   collector.start_committing(given["commit"].as<double>());
   scheduler.spawn(until_told(scheduler, signals, collector));
   scheduler.run();
+  if (const std::size_t lost = archive.finish(); lost > 0) {
+    fmt::print(stderr, "hareramp-flows: {} messages lost, the archive does not take them: {}\n", lost,
+               archive.last_error());
+    return 1;
+  }
   return 0;
 }
 
@@ -150,6 +155,7 @@
   std::int64_t left = given["most"].as<std::int64_t>();
   for (const std::string& path : partitions(given["archive"].as<std::string>())) {
     Database database(path, false);
+    if (!database.has_schema()) continue;
     std::map<std::tuple<std::string, std::int64_t, std::int64_t, std::int64_t>, std::string> names;
     Statement name(database.raw(), "SELECT exporter, domain, kind, number, name FROM names");
     while (name.step()) names[{name.text(0), name.whole(1), name.whole(2), name.whole(3)}] = name.text(4);
--- a/tests/flow/exporter_disk_test.cpp
+++ b/tests/flow/exporter_disk_test.cpp
@@ -285,3 +285,34 @@
   CHECK(next.counters.flow_messages_dropped == 0);
   next.scheduler.clear();
 }
+
+TEST_CASE("a collector whose disk is full: a TCP exporter waits, and each flow is stored once") {
+  Folder folder;
+  const auto collector_at = somewhere();
+  Run run(folder, collector_at);
+  flows_tool::ArchiveBounds bounds;
+  bounds.waiting_rows = 16;
+  flows_tool::Archive archive(folder.path + "/archive", bounds);
+  flows_tool::Collector collector(run.scheduler, archive, 32473, 16);
+  collector.listen_tcp(collector_at);
+  const auto commit = [&] { archive.commit(transport::Clock::unix_now()); };
+  {
+    const Injection full(
+        {folder.path + "/archive", 1, disk_faults::kAlways, disk_faults::Effect::kFails, ENOSPC, 0});
+    run.make_flows(100);
+    REQUIRE(run.until([&] { return archive.full(); }));
+    run.make_flows(100);
+    // All has left the exporter: it waits in the connection, not in the archive.
+    REQUIRE(run.until([&] { return run.counters.flow_messages_sent == run.counters.flow_messages; }));
+    commit();
+    CHECK(archive.waiting() <= bounds.waiting_rows);
+    CHECK(archive.counts().commits_failed > 0);
+  }
+  CHECK(run.until([&] {
+    commit();
+    return archive.counts().flows >= 200;
+  }));
+  CHECK(archive.counts().flows == 200);
+  CHECK(archive.counts().failed == 0);
+  run.scheduler.clear();
+}
