--- a/src/distribution/snapshot.cpp
+++ b/src/distribution/snapshot.cpp
@@ -1,6 +1,7 @@
 #include "distribution/snapshot.hpp"
 
 #include <algorithm>
+#include <cmath>
 #include <utility>
 #include <vector>
 
@@ -11,8 +12,11 @@
 using transport::Seconds;
 
 namespace {
-constexpr Seconds kIssuersApart = 5;  // s that the clocks of several issuers may differ by
-}
+// s between stamps of consecutive purges: more may be a step of the issuer's clock, or two issuers.
+constexpr Seconds kStampGap = 1;
+// s beyond a lifetime that stamps must show: some steps too small to be told from a gap.
+constexpr Seconds kStampTolerance = 5;
+}  // namespace
 
 Snapshot::Snapshot(Seconds purge_lifetime, std::size_t purges_most)
     : purge_lifetime_(purge_lifetime), purges_most_(purges_most) {}
@@ -34,21 +38,30 @@
     list_version_ = list.version;
   }
   if (!change.purge) return;
-  const Seconds issued = issuer_time_.take(change.purge->unix_ms);
+  const Seconds issued = change.purge->unix_ms / 1000;
+  note_stamp(issued);
   purges_[change.purge->subject] = {number, change.members};
-  expiries_.push_back({now + purge_lifetime_, change.purge->subject, number, issued});
-  while (issued - expiries_.front().issuer_time > purge_lifetime_ + kIssuersApart) forget_first();
+  expiries_.push_back({now + purge_lifetime_, change.purge->subject, number, issued, stamp_run_});
+  expire(now);
 }
 
-void Snapshot::expire(Seconds now) {
-  while (!expiries_.empty() && expiries_.front().at <= now) forget_first();
+void Snapshot::note_stamp(Seconds issued) {
+  if (std::abs(issued - last_issued_) > kStampGap) ++stamp_run_;
+  last_issued_ = issued;
+}
+
+bool Snapshot::is_over(const Expiry& expiry, Seconds now) const {
+  if (expiry.at <= now) return true;
+  return expiry.stamp_run == stamp_run_ && last_issued_ - expiry.issued > purge_lifetime_ + kStampTolerance;
 }
 
-void Snapshot::forget_first() {
-  const auto purge = purges_.find(expiries_.front().subject);
-  // A later purge of the same subject lives on.
-  if (purge != purges_.end() && purge->second.number == expiries_.front().number) purges_.erase(purge);
-  expiries_.pop_front();
+void Snapshot::expire(Seconds now) {
+  while (!expiries_.empty() && is_over(expiries_.front(), now)) {
+    const auto purge = purges_.find(expiries_.front().subject);
+    // A later purge of the same subject lives on.
+    if (purge != purges_.end() && purge->second.number == expiries_.front().number) purges_.erase(purge);
+    expiries_.pop_front();
+  }
 }
 
 EncodedPiece Snapshot::after(long long cursor, long long last) const {
--- a/src/distribution/snapshot.hpp
+++ b/src/distribution/snapshot.hpp
@@ -3,12 +3,12 @@
 #pragma once
 
 #include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <string>
 
 #include "distribution/change.hpp"
-#include "distribution/issuer_time.hpp"
 #include "distribution/window.hpp"
 #include "transport/scheduler.hpp"
 
@@ -16,9 +16,10 @@
 
 class Snapshot {
  public:
-  // A purge is kept for its lifetime from when it came; less where the stamps of the purges behind it prove
-  // that its lifetime is over (IssuerTime). Stamps are not held against our clock: either may have been
-  // stepped.
+  // A purge is kept for its lifetime from when it came. Its stamp is of the issuer's clock, which may be
+  // stepped as ours may, so the two are never compared. In a backlog a purge goes sooner where the source's
+  // later stamps alone show that its lifetime is over: as long as each lies close to the one before, no step
+  // is among them.
   Snapshot(transport::Seconds purge_lifetime, std::size_t purges_most);
 
   // Of two purges of one subject the later event counts, whatever their stamps say.
@@ -47,10 +48,12 @@
     transport::Seconds at = 0;
     PurgeSubject subject;
     long long number = 0;
-    transport::Seconds issuer_time = 0;  // by its stamp
+    transport::Seconds issued = 0;  // by its stamp
+    std::uint64_t stamp_run = 0;
   };
 
-  void forget_first();
+  void note_stamp(transport::Seconds issued);
+  bool is_over(const Expiry& expiry, transport::Seconds now) const;
 
   transport::Seconds purge_lifetime_;
   std::size_t purges_most_;
@@ -60,7 +63,8 @@
   std::map<std::string, std::string> nodes_;  // entries by id
   std::map<PurgeSubject, LivePurge> purges_;
   std::deque<Expiry> expiries_;  // in order
-  IssuerTime issuer_time_;
+  transport::Seconds last_issued_ = 0;
+  std::uint64_t stamp_run_ = 0;  // of stamps that each lie close to the one before
 };
 
 }  // namespace hareramp::distribution
