--- a/tests/distribution/snapshot_test.cpp
+++ b/tests/distribution/snapshot_test.cpp
@@ -1,11 +1,9 @@
-// Time at the issuers of purges by their stamps, through steps of their clocks; and what a relay's snapshot
-// makes of it.
+// What a relay's snapshot makes of the stamps of purges: of a long backlog, and through steps of the issuer's
+// clock.
 #include "distribution/snapshot.hpp"
 
 #include <doctest/doctest.h>
 
-#include "distribution/issuer_time.hpp"
-
 using namespace hareramp::distribution;
 using hareramp::transport::Seconds;
 
