--- a/tests/routing/peer_test.cpp
+++ b/tests/routing/peer_test.cpp
@@ -428,26 +428,33 @@
 }
 
 TEST_CASE("with no time left, or no client, an attempt is never written, and others go on") {
-  Pair pair;
-  pair.desk.limits.hold_back = 0.02;
-  pair.desk.attempt("write", 0, 15, 4);
-  pair.until_heard(" 4\r\nbbbb");
-  pair.desk.attempt("late", 0, 0.1);
-  // In one turn the held-back end falls due and the time of the one behind it runs out.
-  pair.desk.scheduler.at(Scheduler::now() + 0.001, [&] {
-    const Seconds until = Scheduler::now() + 0.15;
-    pair.desk.attempt("gone")->client_gone = true;
-    pair.desk.attempt("past", 0, -1);
-    pair.desk.attempt("next");
-    while (Scheduler::now() < until) {
-    }
-  });
-  pair.until_heard("serve next");
-  pair.desk.until(3);
-  CHECK_FALSE(pair.node.heard_all("serve late"));
-  CHECK_FALSE(pair.node.heard_all("serve gone"));
-  CHECK_FALSE(pair.node.heard_all("serve past"));
-  pair.node.ends[0]->send("write ACK - 0\r\n\r\nnext ACK - 0\r\n\r\n");
-  pair.desk.until(5);
-  CHECK(pair.desk.ends == 5);
+  bool crossed = false;  // false where the machine stood still so long that the held-back end went out before
+  for (int tries = 0; tries < 20 && !crossed; ++tries) {
+    Pair pair;
+    pair.desk.limits.hold_back = 0.2;
+    const Seconds held_until = Scheduler::now() + pair.desk.limits.hold_back;  // or later
+    pair.desk.attempt("write", 0, 15, 4);
+    pair.until_heard(" 4\r\nbbbb");
+    pair.desk.attempt("late", 0, 0.3);
+    // In one turn the held-back end falls due and the time of the one behind it runs out.
+    pair.desk.scheduler.at(Scheduler::now() + 0.001, [&] {
+      crossed = Scheduler::now() < held_until;
+      pair.desk.attempt("gone")->client_gone = true;
+      pair.desk.attempt("past", 0, -1);
+      pair.desk.attempt("next");
+      const Seconds until = Scheduler::now() + 0.35;
+      while (Scheduler::now() < until) {
+      }
+    });
+    pair.until_heard("serve next");
+    if (!crossed) continue;
+    pair.desk.until(3);
+    CHECK_FALSE(pair.node.heard_all("serve late"));
+    CHECK_FALSE(pair.node.heard_all("serve gone"));
+    CHECK_FALSE(pair.node.heard_all("serve past"));
+    pair.node.ends[0]->send("write ACK - 0\r\n\r\nnext ACK - 0\r\n\r\n");
+    pair.desk.until(5);
+    CHECK(pair.desk.ends == 5);
+  }
+  CHECK(crossed);
 }
