--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -27,26 +27,27 @@
 namespace {
 
 // Constants. The design's own first, as the design page has them.
-constexpr Seconds kSpan = 10.0;        // s: span over which rates and shares are averaged (design)
-constexpr Seconds kHotSpan = 2.0;      // s: span over which an object's bytes are counted (design)
-constexpr double kHotShare = 0.25;     // of the home cache's rate: above it an object spreads (design)
-constexpr double kLowOfHigh = 0.1;     // of the high threshold: the low one (design)
-constexpr double kShareFloor = 0.06;   // hit share that keeps a member between the thresholds (design)
-constexpr Seconds kTrialEvery = 5.0;   // s: between trial fills of a dropped member (design)
-constexpr Seconds kMeasurable = 0.1;   // s of sending: shorter fills tell of delays, not of a rate
-constexpr Seconds kTrialFirst = 0.5;   // s: first trial of a node left out; doubles up to kTrialEvery
-constexpr int kStrikesOut = 2;         // silent attempts in a row: one may be chance
-constexpr double kByChance = 0.01;     // more in a row where so many would still be commoner than this
-constexpr Seconds kLongOut = 1.0;      // s: after a longer absence a node may have restarted unseen
-constexpr Seconds kSetup = 0.05;       // s: an attempt's fixed part when times are put in proportion
-constexpr double kOverdue = 1.5;       // x expected time: a member on trial gets no more than this
-constexpr double kBudgetPart = 0.7;    // of the told limit: true capacity lies below the listed weight
-constexpr double kUnknownLink = 2.0;   // transfers: a link's size where no weight tells it, judged low
-constexpr Seconds kUnknownSend = 0.3;  // s: sending time before any size or answer has told one
-constexpr double kCrowd = 2.0;         // transfers for each that a link bears at full pace: a room's start
-constexpr double kLinkFull = 2.5;      // transfers for each that fits a location's link at a fill's pace
-constexpr double kTight = 0.6;         // of the contract time's slack over bare sending: more shows a crowd
-constexpr double kCut = 0.9;           // x: a node's room after a request that took longer than that
+constexpr Seconds kSpan = 10.0;         // s: span over which rates and shares are averaged (design)
+constexpr Seconds kHotSpan = 2.0;       // s: span over which an object's bytes are counted (design)
+constexpr double kHotShare = 0.25;      // of the home cache's rate: above it an object spreads (design)
+constexpr double kLowOfHigh = 0.1;      // of the high threshold: the low one (design)
+constexpr double kShareFloor = 0.06;    // hit share that keeps a member between the thresholds (design)
+constexpr Seconds kTrialEvery = 5.0;    // s: between trial fills of a dropped member (design)
+constexpr Seconds kMeasurable = 0.1;    // s of sending: shorter fills tell of delays, not of a rate
+constexpr Seconds kTrialFirst = 0.5;    // s: first trial of a node left out; doubles up to kTrialEvery
+constexpr int kStrikesOut = 2;          // silent attempts in a row: one may be chance
+constexpr double kByChance = 0.01;      // more in a row where so many would still be commoner than this
+constexpr Seconds kLongOut = 1.0;       // s: after a longer absence a node may have restarted unseen
+constexpr Seconds kSetup = 0.05;        // s: an attempt's fixed part when times are put in proportion
+constexpr double kOverdue = 1.5;        // x expected time: a member on trial gets no more than this
+constexpr double kBudgetPart = 0.7;     // of the told limit: true capacity lies below the listed weight
+constexpr Seconds kRestartTakes = 0.2;  // s: no director hears of a node, ends and is back sooner
+constexpr double kUnknownLink = 2.0;    // transfers: a link's size where no weight tells it, judged low
+constexpr Seconds kUnknownSend = 0.3;   // s: sending time before any size or answer has told one
+constexpr double kCrowd = 2.0;          // transfers for each that a link bears at full pace: a room's start
+constexpr double kLinkFull = 2.5;       // transfers for each that fits a location's link at a fill's pace
+constexpr double kTight = 0.6;          // of the contract time's slack over bare sending: more shows a crowd
+constexpr double kCut = 0.9;            // x: a node's room after a request that took longer than that
 constexpr double kGrow = 0.1;       // transfers: more room after one in good time, at a node near its limit
 constexpr double kGrowFirst = 0.5;  // transfers: the same until its first crowd: nothing may tell of a link
 constexpr double kNearLimit = 0.7;  // of its room in use: below it a good answer proves nothing
@@ -177,7 +178,8 @@
       : settings(std::move(given)),
         actions(sink),
         chance(static_cast<std::uint_fast32_t>(mix(seed))),
-        now(start) {
+        now(start),
+        began(start) {
     for (int i = 0; i < number("RequestClasses.count", 1); ++i) {
       const std::string at = "RequestClasses." + std::to_string(i) + ".";
       Grade grade;
@@ -282,7 +284,8 @@
     clear(-1, zone, kind, cell), clear(0, strikes, out_here, out_from), clear(0.0, back_off, work_out, room);
     clear(Average(), fill_rate, held_share, serve_rate, hit_drag_of),
         clear(decltype(ledger)::value_type(), ledger);
-    clear(kLongAgo, launched, out_since, next_trial, heard_at, filled_at, cut_at), clear(1.0, weight);
+    clear(kLongAgo, launched, start_guessed, out_since, next_trial, heard_at, filled_at, cut_at),
+        clear(1.0, weight);
     return n;
   }
 
@@ -348,16 +351,28 @@
   }
   double warmth(int n) const { return cold(n) ? present_capacity(n) / full_capacity(n) : 1; }
 
-  // All directors of a location share its caches, all directors together share the parents. Equal parts are
-  // safe without a word between them; it costs speed where one director has most of the traffic.
+  // What this director may send a node of that capacity over any span, in seconds of sending. All directors
+  // of a location share its caches, all directors together share the parents. Equal parts are safe without a
+  // word between them; it costs speed where one director has most of the traffic.
+  double budget_share(int n, double capacity) const {
+    const double limit = is_parent(n) ? parent_limit : cache_limit;
+    return kBudgetPart * limit * capacity * fall_span / sharers(n);
+  }
+  // Guards against a director that restarts, has forgotten what it sent, and sends its share again: the share
+  // counts as spent for a span after the director's own start. Only a node that the list tells to have
+  // started since then had nothing from it. It costs a new director that span at nodes in slow start.
+  bool may_have_spent_share(int n) const {
+    const bool told = launched[n] != start_guessed[n];
+    const bool started_since = told && launched[n] > began - kRestartTakes;
+    return now < began + fall_span && !started_since;
+  }
   bool has_budget(int n, double work) {
     if (!cold(n)) return true;
-    const Seconds span = fall_span;
-    const double limit = is_parent(n) ? parent_limit : cache_limit;
+    if (may_have_spent_share(n)) return false;
     double used = 0;
-    std::erase_if(ledger[n], [&](const auto& entry) { return entry.first <= now - span; });
+    std::erase_if(ledger[n], [&](const auto& entry) { return entry.first <= now - fall_span; });
     for (const auto& entry : ledger[n]) used += entry.second;
-    return used + work <= kBudgetPart * limit * present_capacity(n) * span / sharers(n);
+    return used + work <= budget_share(n, present_capacity(n));
   }
   double charge(int n, double work) {
     if (!cold(n)) return 0;
@@ -404,7 +419,7 @@
     (is_parent(n) ? false_parents : false_caches).add(now, strikes[n], 1 + strikes[n]);
     heard_at[n] = now, strikes[n] = 0;
     if (!is_out(n)) return;
-    if (now - out_since[n] > kLongOut) started(n, now);
+    if (now - out_since[n] > kLongOut) started(n, start_guessed[n] = now);
     out_since[n] = kLongAgo;
     actions.log("back: " + name[n].value);
   }
@@ -964,7 +979,7 @@
   Settings settings;
   Actions& actions;
   std::knuth_b chance;
-  Seconds now;
+  Seconds now, began;
   std::vector<Grade> grades;
   int here = 0, parent_kind = -1, origin_kind = -1, origin_node = kNobody;
   bool can_join = false, direct = false, may_cancel = false, second_copies = false, may_advise = false;
@@ -989,7 +1004,7 @@
   std::vector<int> zone, kind, cell, strikes, out_here, out_from;
   std::vector<char> running, listed, fresh;
   std::vector<double> weight, work_out, room;
-  std::vector<Seconds> launched, out_since, next_trial, back_off, heard_at, filled_at, cut_at;
+  std::vector<Seconds> launched, start_guessed, out_since, next_trial, back_off, heard_at, filled_at, cut_at;
   std::vector<Average> fill_rate, held_share, serve_rate, hit_drag_of;
   std::vector<std::vector<std::pair<Seconds, double>>> ledger;
 
