--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -42,6 +42,7 @@
 constexpr double kOverdue = 1.5;        // x expected time: a member on trial gets no more than this
 constexpr double kBudgetPart = 0.7;     // of the told limit: true capacity lies below the listed weight
 constexpr Seconds kRestartTakes = 0.2;  // s: no director hears of a node, ends and is back sooner
+constexpr double kLeastShare = 0.01;    // of a call: a smaller share would put off trials for ever
 constexpr double kUnknownLink = 2.0;    // transfers: a link's size where no weight tells it, judged low
 constexpr Seconds kUnknownSend = 0.3;   // s: sending time before any size or answer has told one
 constexpr double kCrowd = 2.0;          // transfers for each that a link bears at full pace: a room's start
@@ -133,7 +134,7 @@
   int node = kNobody, source = kNobody;
   Seconds sent = 0, patience = 0;
   bool out = true, cancelled = false, trial = false, in_room = true, late = false;
-  double source_charge = 0;
+  double source_charge = 0, trial_charge = 0;  // trial_charge: at a node that may have restarted
 };
 
 struct Request {
@@ -351,6 +352,12 @@
   }
   double warmth(int n) const { return cold(n) ? present_capacity(n) / full_capacity(n) : 1; }
 
+  // A node that is left out for so long may have restarted unseen, and an answer to a trial takes it for just
+  // started: what it is sent until then counts, against the capacity at a start.
+  bool may_have_restarted(int n) const { return !is_origin(n) && is_out(n) && now - out_since[n] > kLongOut; }
+  bool limited(int n) const { return cold(n) || may_have_restarted(n); }
+  double start_capacity(int n) const { return full_capacity(n) * (is_parent(n) ? parent_from : cache_from); }
+
   // What this director may send a node of that capacity over any span, in seconds of sending. All directors
   // of a location share its caches, all directors together share the parents. Equal parts are safe without a
   // word between them; it costs speed where one director has most of the traffic.
@@ -367,18 +374,31 @@
     return now < began + fall_span && !started_since;
   }
   bool has_budget(int n, double work) {
-    if (!cold(n)) return true;
+    if (!limited(n)) return true;
     if (may_have_spent_share(n)) return false;
     double used = 0;
     std::erase_if(ledger[n], [&](const auto& entry) { return entry.first <= now - fall_span; });
     for (const auto& entry : ledger[n]) used += entry.second;
-    return used + work <= budget_share(n, present_capacity(n));
+    if (!may_have_restarted(n)) return used + work <= budget_share(n, present_capacity(n));
+    // Where a share is less than a call, the pauses between trials hold the budget (trial_pause).
+    return used <= 0 || used + work <= budget_share(n, start_capacity(n));
   }
   double charge(int n, double work) {
-    if (!cold(n)) return 0;
+    if (!limited(n)) return 0;
     ledger[n].emplace_back(now, work);
     return work;
   }
+  // Until the next trial of a node that is left out. Guards against trials of hundreds of directors that meet
+  // a node which has just started: where a share is less than a call, each has its trial so much less often.
+  // The first pause is drawn, since all may have left the node out at once.
+  Seconds trial_pause(int n, bool first) {
+    const double call = all_sends.heard() ? all_sends.mean() : kUnknownSend;
+    const double share = budget_share(n, start_capacity(n));
+    if (share >= call) return back_off[n];
+    const Seconds pause = fall_span * call / std::max(share, kLeastShare * call);
+    const double part = first ? std::uniform_real_distribution<double>(0, 1)(chance) : 1;
+    return std::max(back_off[n], part * pause);
+  }
 
   // --- load: guards against a crowd that makes everybody late ---
   // How many of our transfers a node may hold at once, so that each ends well within its contract time. It
@@ -409,9 +429,9 @@
     strikes[n] += by;
     if (is_out(n)) {
       back_off[n] = std::min(2 * back_off[n], kTrialEvery);
-      next_trial[n] = now + back_off[n];
+      next_trial[n] = now + trial_pause(n, false);
     } else if (strikes[n] >= strikes_out(n)) {
-      out_since[n] = now, back_off[n] = kTrialFirst, next_trial[n] = now + back_off[n];
+      out_since[n] = now, back_off[n] = kTrialFirst, next_trial[n] = now + trial_pause(n, true);
       actions.log("left out: " + name[n].value);
     }
   }
@@ -666,9 +686,11 @@
   void attempt(Request& p, const Way& way) {
     Attempt off;
     off.node = way.node, off.source = way.source, off.sent = now, off.trial = way.trial != kNobody;
-    charge(way.node, is_cache_kind(way.node) ? mean_send(p) : send_time(p));
+    const double node_charge = charge(way.node, is_cache_kind(way.node) ? mean_send(p) : send_time(p));
+    if (!cold(way.node)) off.trial_charge = node_charge;
     if (way.source != way.node) off.source_charge = charge(way.source, send_time(p));
-    if (off.trial) next_trial[way.trial] = now + (is_out(way.trial) ? back_off[way.trial] : kTrialEvery);
+    if (off.trial)
+      next_trial[way.trial] = now + (is_out(way.trial) ? trial_pause(way.trial, false) : kTrialEvery);
     if (p.in_vain && way.source != way.node && !is_cache_kind(way.source)) spare_fills -= 1;
     const Seconds wait = expected(p), in_hand = contract_time(p) - (now - p.arrived) - wait;
     // As long as a further attempt could still make the contract time; less for a member on trial, and where
@@ -846,6 +868,9 @@
         break;
       case Result::kUnreachable:
       case Result::kBroken:
+        // A trial that found nobody there is taken off: it reached no node that has just started.
+        if (result == Result::kUnreachable && off.trial_charge > 0)
+          ledger[c].emplace_back(off.sent, -off.trial_charge);
         // One broken attempt may be chance, and the home is still the best to ask. A node that died breaks
         // all that it held, and then can't be reached.
         strike(c, result == Result::kBroken ? 1 : kStrikesOut);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -341,3 +341,11 @@
   rig.list(ListScope::kChanges, "c1", Readiness::kRunning, rig.now);
   CHECK(calls_within(1) > 0);
 }
+
+TEST_CASE("slow start: a node that was left out comes back unseen by the list") {
+  check_fleets("shares of several calls", {.calls_each = 3, .offered = 3, .away = 3});
+  check_fleets("shares of less than a call", {.calls_each = 0.4, .offered = 10, .away = 4});
+  // Just before all directors have a trial, each with a share of one call.
+  const Plan trials_at_once = {.directors = 900, .calls_each = 1.45, .offered = 20, .away = 2.4};
+  for (const auto& [node, worst] : worst_of(trials_at_once)) CHECK_MESSAGE(worst <= 1, "at once: " << node);
+}
