--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -820,8 +820,10 @@
         if (measurable && note == Note::kHit)
           hit_drag.add(now, spent, send_time(p)), hit_drag_of[c].add(now, spent, send_time(p));
         // A fill that never took place is taken off the source's budget, at the time it was charged: a later
-        // entry would outlive the charge and let more through than the budget holds.
-        if (asked && !filled && off.source_charge > 0) ledger[s].emplace_back(off.sent, -off.source_charge);
+        // entry would outlive the charge and let more through than the budget holds. Only a note tells it,
+        // and a copy that is renewed behind its answer asks the source all the same.
+        if ((note == Note::kHit || note == Note::kJoined) && grade_of(p).fresh <= 0 && off.source_charge > 0)
+          ledger[s].emplace_back(off.sent, -off.source_charge);
         if (!asked || !filled) break;
         const bool by_origin = is_origin(s) || (is_parent(s) && note == Note::kFilledByOrigin);
         answered(s), filled_at[s] = now;
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -349,3 +349,8 @@
   const Plan trials_at_once = {.directors = 900, .calls_each = 1.45, .offered = 20, .away = 2.4};
   for (const auto& [node, worst] : worst_of(trials_at_once)) CHECK_MESSAGE(worst <= 1, "at once: " << node);
 }
+
+TEST_CASE("slow start: only fills that are known not to have been made are taken off") {
+  check_fleets("no notes", {.tells = "none"});
+  check_fleets("copies renewed behind hits", {.offered = 4, .hits = 0.8, .renews = true});
+}
