--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -27,28 +27,28 @@
 namespace {
 
 // Constants. The design's own first, as the design page has them.
-constexpr Seconds kSpan = 10.0;         // s: span over which rates and shares are averaged (design)
-constexpr Seconds kHotSpan = 2.0;       // s: span over which an object's bytes are counted (design)
-constexpr double kHotShare = 0.25;      // of the home cache's rate: above it an object spreads (design)
-constexpr double kLowOfHigh = 0.1;      // of the high threshold: the low one (design)
-constexpr double kShareFloor = 0.06;    // hit share that keeps a member between the thresholds (design)
-constexpr Seconds kTrialEvery = 5.0;    // s: between trial fills of a dropped member (design)
-constexpr Seconds kMeasurable = 0.1;    // s of sending: shorter fills tell of delays, not of a rate
-constexpr Seconds kTrialFirst = 0.5;    // s: first trial of a node left out; doubles up to kTrialEvery
-constexpr int kStrikesOut = 2;          // silent attempts in a row: one may be chance
-constexpr double kByChance = 0.01;      // more in a row where so many would still be commoner than this
-constexpr Seconds kLongOut = 1.0;       // s: after a longer absence a node may have restarted unseen
-constexpr Seconds kSetup = 0.05;        // s: an attempt's fixed part when times are put in proportion
-constexpr double kOverdue = 1.5;        // x expected time: a member on trial gets no more than this
-constexpr double kBudgetPart = 0.7;     // of the told limit: true capacity lies below the listed weight
-constexpr Seconds kRestartTakes = 0.2;  // s: no director hears of a node, ends and is back sooner
-constexpr double kLeastShare = 0.01;    // of a call: a smaller share would put off trials for ever
-constexpr double kUnknownLink = 2.0;    // transfers: a link's size where no weight tells it, judged low
-constexpr Seconds kUnknownSend = 0.3;   // s: sending time before any size or answer has told one
-constexpr double kCrowd = 2.0;          // transfers for each that a link bears at full pace: a room's start
-constexpr double kLinkFull = 2.5;       // transfers for each that fits a location's link at a fill's pace
-constexpr double kTight = 0.6;          // of the contract time's slack over bare sending: more shows a crowd
-constexpr double kCut = 0.9;            // x: a node's room after a request that took longer than that
+constexpr Seconds kSpan = 10.0;        // s: span over which rates and shares are averaged (design)
+constexpr Seconds kHotSpan = 2.0;      // s: span over which an object's bytes are counted (design)
+constexpr double kHotShare = 0.25;     // of the home cache's rate: above it an object spreads (design)
+constexpr double kLowOfHigh = 0.1;     // of the high threshold: the low one (design)
+constexpr double kShareFloor = 0.06;   // hit share that keeps a member between the thresholds (design)
+constexpr Seconds kTrialEvery = 5.0;   // s: between trial fills of a dropped member (design)
+constexpr Seconds kMeasurable = 0.1;   // s of sending: shorter fills tell of delays, not of a rate
+constexpr Seconds kTrialFirst = 0.5;   // s: first trial of a node left out; doubles up to kTrialEvery
+constexpr int kStrikesOut = 2;         // silent attempts in a row: one may be chance
+constexpr double kByChance = 0.01;     // more in a row where so many would still be commoner than this
+constexpr Seconds kLongOut = 1.0;      // s: after a longer absence a node may have restarted unseen
+constexpr Seconds kSetup = 0.05;       // s: an attempt's fixed part when times are put in proportion
+constexpr double kOverdue = 1.5;       // x expected time: a member on trial gets no more than this
+constexpr double kBudgetPart = 0.7;    // of the told limit: true capacity lies below the listed weight
+constexpr Seconds kRestartTime = 0.2;  // s: no director hears of a node, ends and is back sooner
+constexpr double kLeastShare = 0.01;   // of a call: a smaller share would put off trials for ever
+constexpr double kUnknownLink = 2.0;   // transfers: a link's size where no weight tells it, judged low
+constexpr Seconds kUnknownSend = 0.3;  // s: sending time before any size or answer has told one
+constexpr double kCrowd = 2.0;         // transfers for each that a link bears at full pace: a room's start
+constexpr double kLinkFull = 2.5;      // transfers for each that fits a location's link at a fill's pace
+constexpr double kTight = 0.6;         // of the contract time's slack over bare sending: more shows a crowd
+constexpr double kCut = 0.9;           // x: a node's room after a request that took longer than that
 constexpr double kGrow = 0.1;       // transfers: more room after one in good time, at a node near its limit
 constexpr double kGrowFirst = 0.5;  // transfers: the same until its first crowd: nothing may tell of a link
 constexpr double kNearLimit = 0.7;  // of its room in use: below it a good answer proves nothing
@@ -370,7 +370,7 @@
   // started since then had nothing from it. It costs a new director that span at nodes in slow start.
   bool may_have_spent_share(int n) const {
     const bool told = launched[n] != start_guessed[n];
-    const bool started_since = told && launched[n] > began - kRestartTakes;
+    const bool started_since = told && launched[n] > began - kRestartTime;
     return now < began + fall_span && !started_since;
   }
   bool has_budget(int n, double work) {
