--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -351,7 +351,8 @@
     clear(-1, zone, kind, cell), clear(0, strikes, out_here, out_from), clear(0.0, back_off, work_out, room);
     clear(Average(), fill_rate, held_share, serve_rate, hit_drag_of),
         clear(decltype(ledger)::value_type(), ledger);
-    clear(kLongAgo, launched, start_guessed, out_since, next_trial, heard_at, filled_at, cut_at),
+    clear(kLongAgo, launched, start_guessed, stamped_start, out_since, next_trial, heard_at, filled_at,
+          cut_at),
         clear(1.0, weight);
     return n;
   }
@@ -436,7 +437,7 @@
   // started since then had nothing from it. It costs a new director that span at nodes in slow start.
   bool may_have_spent_share(int n) const {
     const bool told = launched[n] != start_guessed[n];
-    const bool started_since = told && launched[n] > began - kRestartTime;
+    const bool started_since = told && stamped_start[n] > began - kRestartTime;
     return now < began + fall_span && !started_since;
   }
   bool has_budget(int n, double work) {
@@ -1117,7 +1118,8 @@
   std::vector<int> zone, kind, cell, strikes, out_here, out_from;
   std::vector<char> running, listed, fresh;
   std::vector<double> weight, work_out, room;
-  std::vector<Seconds> launched, start_guessed, out_since, next_trial, back_off, heard_at, filled_at, cut_at;
+  std::vector<Seconds> launched, start_guessed, stamped_start, out_since, next_trial, back_off, heard_at,
+      filled_at, cut_at;
   std::vector<Average> fill_rate, held_share, serve_rate, hit_drag_of;
   std::vector<std::vector<std::pair<Seconds, double>>> ledger;
 
@@ -1166,7 +1168,7 @@
 }
 
 void Director::list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
-                          Readiness readiness, double weight, Seconds launched) {
+                          Readiness readiness, double weight, Seconds launched, Seconds stamped) {
   Mind& m = mind_->at(now);
   const int n = m.index_of(node);
   const bool newly = !m.listed[n] && m.scope == ListScope::kChanges;
@@ -1176,7 +1178,10 @@
   m.sort_out_kinds();
   if (m.room[n] <= 0) m.room[n] = m.first_room(n);
   // What comes up without a start time may have started this moment.
-  if (launched > 0 || (newly && m.running[n])) m.started(n, launched > 0 ? launched : now);
+  if (launched <= 0 && !(newly && m.running[n])) return;
+  const Seconds counted = launched > 0 ? launched : now;
+  m.stamped_start[n] = stamped > 0 ? std::min(stamped, counted) : counted;
+  m.started(n, counted);
 }
 
 void Director::list_ends(Seconds now) {
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -96,10 +96,12 @@
   Director(const Director&) = delete;
   Director& operator=(const Director&) = delete;
 
-  // The list of nodes comes as a start, an entry for each node, and an end.
+  // The list of nodes comes as a start, an entry for each node, and an end. launched: when the node counts as
+  // started, 0 where the list does not tell. stamped: when it started by the list's own stamp, where that is
+  // earlier; 0 where it is the same. A late word of a start makes the first later than the second.
   void list_starts(Seconds now, ListScope scope);
   void list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
-                  Readiness readiness, double weight, Seconds launched);
+                  Readiness readiness, double weight, Seconds launched, Seconds stamped = 0);
   void list_ends(Seconds now);
 
   void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, TenantIndex tenant,
--- a/src/routing/module.cpp
+++ b/src/routing/module.cpp
@@ -45,7 +45,8 @@
     const Seconds started =
         readiness == Readiness::kGone ? 0 : module_.start_times_.started(now(), node, started_unix_ms / 1000);
     module_.director_->list_entry(now(), node, {index(module_.names_.zones, zone)},
-                                  {index(module_.names_.kinds, kind)}, cell, readiness, weight, started);
+                                  {index(module_.names_.kinds, kind)}, cell, readiness, weight, started,
+                                  started_unix_ms / 1000);
   }
   void list_ends() override {
     if (whole_) {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -342,6 +342,25 @@
   CHECK(calls_within(1) > 0);
 }
 
+TEST_CASE("slow start: a director that restarts and hears late of a start does not take it for a later one") {
+  for (const bool after_the_director : {false, true}) {
+    CAPTURE(after_the_director);
+    Rig rig;
+    rig.after(10);
+    const Seconds began = rig.now;
+    rig.director = std::make_unique<Director>(began, Rig::usual_settings(), 8, rig);
+    rig.list(ListScope::kFull, "P1 O");
+    rig.after(0.5);
+    // The ramp counts from when the start was heard of; whether the share may be spent, by the list's stamp.
+    const Seconds stamped = after_the_director ? began + 0.1 : began - 1;
+    rig.director->list_starts(rig.now, ListScope::kChanges);
+    rig.director->list_entry(rig.now, {"c1"}, {2}, {0}, {1}, Readiness::kRunning, 6, rig.now, stamped);
+    rig.director->list_ends(rig.now);
+    rig.request("1", 1);
+    CHECK(std::count(rig.node_of["1"].begin(), rig.node_of["1"].end(), "c1") == (after_the_director ? 1 : 0));
+  }
+}
+
 TEST_CASE("slow start: a node that was left out comes back unseen by the list") {
   check_fleets("shares of several calls", {.calls_each = 3, .offered = 3, .away = 3});
   check_fleets("shares of less than a call", {.calls_each = 0.4, .offered = 10, .away = 4});
