--- a/src/protocol/lines.cpp
+++ b/src/protocol/lines.cpp
@@ -40,12 +40,12 @@
 
 }  // namespace
 
-std::string serve_line(const RequestId& request, const Wording& wording, Seconds wait, const NodeId& node,
-                       const FillTerms& fill) {
+std::string serve_line(const RequestId& request, const ForwardedRequest& forwarded_request, Seconds wait,
+                       const NodeId& node, const FillTerms& fill) {
   std::string line;
   const auto add = [&](const auto&... parts) { ((line += parts), ...); };
-  add("serve ", request.value, " lane=", wording.lane, ",name=", wording.name);
-  if (!wording.piece.empty()) add(",piece=", wording.piece);
+  add("serve ", request.value, " lane=", forwarded_request.lane, ",name=", forwarded_request.name);
+  if (!forwarded_request.piece.empty()) add(",piece=", forwarded_request.piece);
   add(",ttl=", std::to_string(milliseconds(wait)));
   if (fill.source != node) add(",next=", fill.source.value);
   if (fill.rank > 0) add(",admit=", std::to_string(fill.rank));
@@ -59,8 +59,8 @@
   way(fill.held_only, "have-only");
   way(fill.pass_parent, "through");
   way(fill.renew, "update");
-  if (!wording.cached.empty()) add(",cached=", wording.cached);
-  add(" ", std::to_string(wording.body.size()), "\r\n", wording.body, "\r\n");
+  if (!forwarded_request.cached.empty()) add(",cached=", forwarded_request.cached);
+  add(" ", std::to_string(forwarded_request.body.size()), "\r\n", forwarded_request.body, "\r\n");
   return line;
 }
 
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -12,7 +12,7 @@
 namespace hareramp::protocol {
 
 // What a request says of itself; it goes on as the client worded it.
-struct Wording {
+struct ForwardedRequest {
   std::string lane, name, piece, cached, body;
   std::uint32_t grade_number = 0, depot_number = 0;  // for flow records alone; not worded
   // Set by the client's connection once the client has closed, reset or left it; not worded. From then on no
@@ -20,8 +20,8 @@
   bool client_gone = false;
 };
 
-std::string serve_line(const RequestId& request, const Wording& wording, Seconds wait, const NodeId& node,
-                       const FillTerms& fill);
+std::string serve_line(const RequestId& request, const ForwardedRequest& forwarded_request, Seconds wait,
+                       const NodeId& node, const FillTerms& fill);
 std::string cancel_line(const RequestId& request);
 
 class AnswerHandler {
--- a/src/routing/front.cpp
+++ b/src/routing/front.cpp
@@ -448,26 +448,26 @@
     leave();
     return true;
   }
-  auto wording = std::make_shared<protocol::Wording>();
-  wording->lane = grade;
-  wording->name = name;
-  wording->piece = piece;
-  wording->cached = std::move(http_request_.cached);
-  wording->body = std::move(http_request_.body);
+  auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
+  forwarded_request->lane = grade;
+  forwarded_request->name = name;
+  forwarded_request->piece = piece;
+  forwarded_request->cached = std::move(http_request_.cached);
+  forwarded_request->body = std::move(http_request_.body);
   if (tap_) {
-    grade_ = front_.flows_->grade(wording->lane);
-    wording->grade_number = grade_.value;
-    wording->depot_number = depot_.value;
+    grade_ = front_.flows_->grade(forwarded_request->lane);
+    forwarded_request->grade_number = grade_.value;
+    forwarded_request->depot_number = depot_.value;
   }
   const Limits& limits = front_.limits_;
   // A request read after a pause may have waited for all of it, and its client's time began with the sending.
   const Seconds hard_stop = Scheduler::now() + std::max(0.0, http_request_.wait / 1000 - limits.stop_margin -
                                                                  front_.scheduler_.late());
   request_ = {std::move(http_request_.id)};
-  wording_ = wording;
+  forwarded_request_ = forwarded_request;
   front_.module_.request_arrived(request_, {static_cast<int>(place)}, object, part, {http_request_.family},
                                  hard_stop, http_request_.size_kb, http_request_.resent, http_request_.put,
-                                 std::move(wording), weak_from_this());
+                                 std::move(forwarded_request), weak_from_this());
   owed_ = true;  // the module has it; its answer comes by the mailbox, later
   return true;
 }
@@ -550,7 +550,7 @@
 void Client::begin_answer(int status, std::string_view more, std::string bytes, ipfix::Outcome outcome,
                           Note note) {
   owed_ = false;
-  wording_.reset();
+  forwarded_request_.reset();
   label(outcome, note);
   if (!keep_) closing_ = true;
   front_.counters_.bytes_answered += bytes.size();
@@ -562,8 +562,8 @@
 // ahead of further requests goes with it: the answer says that the connection closes.
 void Client::answer_at_once(std::string_view text) {
   if (ended_) return;
-  if (wording_) wording_->client_gone = true;  // the module may have it, or not
-  wording_.reset();
+  if (forwarded_request_) forwarded_request_->client_gone = true;  // the module may have it, or not
+  forwarded_request_.reset();
   owed_ = false;
   in_.consume(in_.size());
   if (!socket_.write_now(text).ok()) return leave();
@@ -660,7 +660,8 @@
 void Client::leave() {
   if (std::exchange(ended_, true)) return;
   const auto self = shared_from_this();
-  if (wording_) wording_->client_gone = true;  // at once, ahead of what is posted to the module
+  if (forwarded_request_)
+    forwarded_request_->client_gone = true;  // at once, ahead of what is posted to the module
   const bool owed = std::exchange(owed_, false);
   try {
     if (owed) label(ipfix::Outcome::kLeft, Note::kNone);
--- a/src/routing/front.hpp
+++ b/src/routing/front.hpp
@@ -64,7 +64,9 @@
 
 // One connection. Requests on it are answered in order, one open at a time; what is pipelined behind waits in
 // the buffer, and reading pauses when that is full.
-class Client : public Asker, private protocol::HttpHandler, public std::enable_shared_from_this<Client> {
+class Client : public ResponseSink,
+               private protocol::HttpHandler,
+               public std::enable_shared_from_this<Client> {
  public:
   Client(Front& front, transport::Socket socket);
   void start();
@@ -131,11 +133,12 @@
   transport::Mailbox mailbox_;
   transport::Signal resumed_;
   HttpRequest http_request_;
-  RequestId request_;                           // the one that is open
-  std::shared_ptr<protocol::Wording> wording_;  // of the request that the module has; null: it has none
-  Seconds moved_at_ = 0;                        // when the connection last did something
-  bool busy_ = false;                           // a request is being answered
-  bool owed_ = false;                           // by the module
+  RequestId request_;  // the one that is open
+  std::shared_ptr<protocol::ForwardedRequest>
+      forwarded_request_;  // of the request that the module has; null: it has none
+  Seconds moved_at_ = 0;   // when the connection last did something
+  bool busy_ = false;      // a request is being answered
+  bool owed_ = false;      // by the module
   bool keep_ = true;
   bool closing_ = false;  // no further request is read
   bool shown_ = false;    // a whole request of a kind that is served here has come
--- a/src/routing/module.cpp
+++ b/src/routing/module.cpp
@@ -181,29 +181,31 @@
 void ModuleActor::request_arrived(const RequestId& request, GradeIndex grade, ObjectId object,
                                   PartNumber part, GroupId group, Seconds hard_stop, double size_kb,
                                   bool resent, bool is_write,
-                                  std::shared_ptr<const protocol::Wording> wording,
-                                  std::weak_ptr<Asker> asker) {
+                                  std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+                                  std::weak_ptr<ResponseSink> response_sink) {
   ++counters_.taken;
   counters_.open = ++open_;
-  mailbox_.post([=, this, wording = std::move(wording), asker = std::move(asker)]() mutable {
-    arrived(request, grade, object, part, group, hard_stop, size_kb, resent, is_write, std::move(wording),
-            std::move(asker));
+  mailbox_.post([=, this, forwarded_request = std::move(forwarded_request),
+                 response_sink = std::move(response_sink)]() mutable {
+    arrived(request, grade, object, part, group, hard_stop, size_kb, resent, is_write,
+            std::move(forwarded_request), std::move(response_sink));
   });
 }
 
 void ModuleActor::arrived(const RequestId& id, GradeIndex grade, ObjectId object, PartNumber part,
                           GroupId group, Seconds hard_stop, double size_kb, bool resent, bool is_write,
-                          std::shared_ptr<const protocol::Wording> wording, std::weak_ptr<Asker> asker) {
+                          std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+                          std::weak_ptr<ResponseSink> response_sink) {
   if (requests_.contains(
           id)) {  // an id that is not new can't be told from the first: no second answer to that
     ++counters_.forfeited;
     counters_.open = --open_;
-    if (const auto second = asker.lock()) second->forfeited(id);
+    if (const auto second = response_sink.lock()) second->forfeited(id);
     return;
   }
   Request request;
-  request.wording = std::move(wording);
-  request.asker = std::move(asker);
+  request.forwarded_request = std::move(forwarded_request);
+  request.response_sink = std::move(response_sink);
   request.hard_stop = std::min(hard_stop, deadlines_end_);
   watch_overdue(id, requests_.insert_or_assign(id, std::move(request)).first->second);
   director_->request_arrived(clock_.now(), id, grade, {0}, object, part, group,
@@ -284,14 +286,15 @@
   if (found == requests_.end() || place >= found->second.outs.size()) return;
   Request& request = found->second;
   // Told that a copy holds which the client never named: nothing that could be passed on.
-  if (content.same_copy && request.wording->cached.empty()) result = Result::kError;
+  if (content.same_copy && request.forwarded_request->cached.empty()) result = Result::kError;
   count(result);
   request.outs[place].out = false;
   if (result == Result::kCompleted && request.owed) {
     answered(request);
     ++counters_.completed;
     if (content.same_copy) ++counters_.not_modified;
-    if (const auto asker = request.asker.lock()) asker->completed(id, std::move(content));
+    if (const auto response_sink = request.response_sink.lock())
+      response_sink->completed(id, std::move(content));
   }
   const Seconds now = clock_.now(), spent = now - clock_.of_scheduler(request.outs[place].sent);
   director_->attempt_ended(now, id, number, node, result, note, waited, spent, report, !request.owed);
@@ -341,10 +344,10 @@
   const auto peer = peers_.find(node);
   // Its time may have gone by while the process stood still, or its client has left: nobody waits for it any
   // more.
-  if (peer == peers_.end() || now >= request->hard_stop || request->wording->client_gone)
+  if (peer == peers_.end() || now >= request->hard_stop || request->forwarded_request->client_gone)
     return ended(id, number, node, Result::kNotSent, Note::kNone, 0, {}, {});
   const Seconds until = time_out > 0 ? std::min(now + time_out, request->hard_stop) : request->hard_stop;
-  peer->second->attempt(id, number, request->wording, fill, until);
+  peer->second->attempt(id, number, request->forwarded_request, fill, until);
 }
 
 void ModuleActor::cancel(const RequestId& id, AttemptNumber number) {
@@ -360,7 +363,7 @@
   if (!request) return;
   answered(*request);
   ++counters_.bounced;
-  if (const auto asker = request->asker.lock()) asker->bounced(id, come_back_in);
+  if (const auto response_sink = request->response_sink.lock()) response_sink->bounced(id, come_back_in);
   mailbox_.post([this, id] { forget_if_quiet(id); });
 }
 
@@ -369,7 +372,7 @@
   if (!request) return;
   answered(*request);
   ++counters_.forfeited;
-  if (const auto asker = request->asker.lock()) asker->forfeited(id);
+  if (const auto response_sink = request->response_sink.lock()) response_sink->forfeited(id);
   mailbox_.post([this, id] { forget_if_quiet(id); });
 }
 
--- a/src/routing/module.hpp
+++ b/src/routing/module.hpp
@@ -24,9 +24,9 @@
 namespace hareramp::routing {
 
 // Whoever asked for a request. Gets one of these, once, and none if it has left before.
-class Asker {
+class ResponseSink {
  public:
-  virtual ~Asker() = default;
+  virtual ~ResponseSink() = default;
   virtual void completed(const RequestId& request, Content content) = 0;
   virtual void bounced(const RequestId& request, Seconds come_back_in) = 0;
   virtual void forfeited(const RequestId& request) = 0;
@@ -61,7 +61,8 @@
                        std::function<void(bool taken)> done) override;
   void request_arrived(const RequestId& request, GradeIndex grade, ObjectId object, PartNumber part,
                        GroupId group, Seconds hard_stop, double size_kb, bool resent, bool is_write,
-                       std::shared_ptr<const protocol::Wording> wording, std::weak_ptr<Asker> asker);
+                       std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+                       std::weak_ptr<ResponseSink> response_sink);
   void request_left(const RequestId& request);
   // A request that a limit kept from the module: counted, and answered by whoever calls.
   void turned_back() { ++counters_.taken, ++counters_.bounced, ++counters_.turned_back; }
@@ -78,8 +79,8 @@
     bool out = true;
   };
   struct Request {
-    std::shared_ptr<const protocol::Wording> wording;
-    std::weak_ptr<Asker> asker;
+    std::shared_ptr<const protocol::ForwardedRequest> forwarded_request;
+    std::weak_ptr<ResponseSink> response_sink;
     Seconds hard_stop = 0;  // the scheduler's time
     transport::Scheduler::TimerKey last_resort;
     bool owed = true;
@@ -89,7 +90,8 @@
 
   void arrived(const RequestId& request, GradeIndex grade, ObjectId object, PartNumber part, GroupId group,
                Seconds hard_stop, double size_kb, bool resent, bool is_write,
-               std::shared_ptr<const protocol::Wording> wording, std::weak_ptr<Asker> asker);
+               std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+               std::weak_ptr<ResponseSink> response_sink);
   void attempt_ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
                      Note note, Seconds waited, const LoadReport& report, Content content);
   void end_by_last_resort(const RequestId& request);
--- a/src/routing/peer.cpp
+++ b/src/routing/peer.cpp
@@ -97,13 +97,12 @@
 Task<> Peer::live(std::shared_ptr<Peer> self) { co_await self->mailbox_.serve(); }
 
 void Peer::attempt(const RequestId& request, AttemptNumber number,
-                   std::shared_ptr<const protocol::Wording> wording, const FillTerms& fill,
+                   std::shared_ptr<const protocol::ForwardedRequest> forwarded_request, const FillTerms& fill,
                    Seconds give_up_at) {
   mailbox_.post(
       [this, number,
-       message = UpstreamMessage::attempt(request, std::move(wording), fill, give_up_at)]() mutable {
-        send(number, std::move(message));
-      });
+       message = UpstreamMessage::attempt(request, std::move(forwarded_request), fill,
+                                          give_up_at)]() mutable { send(number, std::move(message)); });
 }
 
 void Peer::cancel(const RequestId& request, AttemptNumber number) {
@@ -168,8 +167,8 @@
   const Seconds give_up_at = message.give_up_at;
   Open open;
   open.number = number;
-  open.grade = {message.wording->grade_number};
-  open.depot = {message.wording->depot_number};
+  open.grade = {message.forwarded_request->grade_number};
+  open.depot = {message.forwarded_request->depot_number};
   open.timer = watch(request, number, std::min(give_up_at, now + limits_.begin_within), give_up_at);
   link->open.emplace(request, open);
   link->out.push_back(std::move(message));
@@ -363,7 +362,7 @@
   UpstreamMessage& message = link->out.front();
   const Seconds now = Scheduler::now();
   if (message.may_begin(now)) {
-    if (message.wording)
+    if (message.forwarded_request)
       message.encode(now, node_, told_.oldest_copy(message.request), limits_.hold_back > 0);
     return true;
   }
--- a/src/routing/peer.hpp
+++ b/src/routing/peer.hpp
@@ -49,7 +49,8 @@
   void start();
   // Each of these only posts; the actor acts on them in order.
   void attempt(const RequestId& request, AttemptNumber number,
-               std::shared_ptr<const protocol::Wording> wording, const FillTerms& fill, Seconds give_up_at);
+               std::shared_ptr<const protocol::ForwardedRequest> forwarded_request, const FillTerms& fill,
+               Seconds give_up_at);
   void cancel(const RequestId& request, AttemptNumber number);
   void moved(transport::Address address);
   void gone();  // nothing new will come; connections close as their work ends
--- a/src/routing/upstream_message.cpp
+++ b/src/routing/upstream_message.cpp
@@ -19,11 +19,11 @@
 }  // namespace
 
 UpstreamMessage UpstreamMessage::attempt(const RequestId& request,
-                                         std::shared_ptr<const protocol::Wording> wording,
+                                         std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                                          const FillTerms& fill, Seconds give_up_at) {
   UpstreamMessage message;
   message.request = request;
-  message.wording = std::move(wording);
+  message.forwarded_request = std::move(forwarded_request);
   message.fill = fill;
   message.give_up_at = give_up_at;
   return message;
@@ -36,15 +36,15 @@
 }
 
 bool UpstreamMessage::may_begin(Seconds now) const {
-  return !wording || (now < give_up_at && !wording->client_gone);
+  return !forwarded_request || (now < give_up_at && !forwarded_request->client_gone);
 }
 
 void UpstreamMessage::encode(Seconds now, const NodeId& node, Seconds oldest_copy, bool hold_back_end) {
-  if (!wording) return;
+  if (!forwarded_request) return;
   FillTerms terms = fill;
   terms.oldest_copy = stricter(fill.oldest_copy, oldest_copy);
-  bytes = protocol::serve_line(request, *wording, give_up_at - now, node, terms);
-  held = hold_back_end && !wording->body.empty() ? kHeldBytes : 0;
+  bytes = protocol::serve_line(request, *forwarded_request, give_up_at - now, node, terms);
+  held = hold_back_end && !forwarded_request->body.empty() ? kHeldBytes : 0;
   whole_at = 0;
 }
 
--- a/src/routing/upstream_message.hpp
+++ b/src/routing/upstream_message.hpp
@@ -15,7 +15,8 @@
 namespace hareramp::routing {
 
 struct UpstreamMessage {
-  static UpstreamMessage attempt(const RequestId& request, std::shared_ptr<const protocol::Wording> wording,
+  static UpstreamMessage attempt(const RequestId& request,
+                                 std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                                  const FillTerms& fill, Seconds give_up_at);
   static UpstreamMessage cancel(const RequestId& request);
 
@@ -33,7 +34,7 @@
   Seconds whole_at = 0;  // when they may go, once all before them has gone; 0 until then
 
   // Of an attempt alone.
-  std::shared_ptr<const protocol::Wording> wording;
+  std::shared_ptr<const protocol::ForwardedRequest> forwarded_request;
   FillTerms fill;
   Seconds give_up_at = 0;  // the scheduler's time
 };
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -186,15 +186,15 @@
 
 TEST_CASE("commands to nodes") {
   const RequestId request{"9b1f03aa5c7e2d41"};
-  Wording wording{"segment", "7f3a9c21e0b4d655", "3", "", ""};
-  std::string trace = serve_line(request, wording, 1.4999, {"c1"}, {.source = {"c1"}});
+  ForwardedRequest forwarded_request{"segment", "7f3a9c21e0b4d655", "3", "", ""};
+  std::string trace = serve_line(request, forwarded_request, 1.4999, {"c1"}, {.source = {"c1"}});
   trace += serve_line(
-      request, wording, 1.5, {"c1"},
+      request, forwarded_request, 1.5, {"c1"},
       {.source = {"P1"}, .rank = 2, .oldest_copy = 0.0004, .join = true, .held_only = true, .renew = true});
-  trace += serve_line(request, wording, -1, {"c1"},
+  trace += serve_line(request, forwarded_request, -1, {"c1"},
                       {.source = {"P1"}, .oldest_copy = 8.0019, .pass_parent = true});
-  wording = {"handover", "1", "", "4be0c1927d55a6f3", "body\r\n"};
-  trace += serve_line(request, wording, 3, {"O"}, {.source = {"O"}}) + cancel_line(request);
+  forwarded_request = {"handover", "1", "", "4be0c1927d55a6f3", "body\r\n"};
+  trace += serve_line(request, forwarded_request, 3, {"O"}, {.source = {"O"}}) + cancel_line(request);
   std::erase(trace, '\r');
   check_trace("node_commands", trace);
 }
--- a/tests/routing/ends.hpp
+++ b/tests/routing/ends.hpp
@@ -22,9 +22,9 @@
     peer->start();
   }
   void attempt(const std::string& request, const std::string& body = "") {
-    auto wording = std::make_shared<protocol::Wording>();
-    wording->lane = "segment", wording->name = request, wording->body = body;
-    peer->attempt({request}, {0}, wording, {.source = {"c1"}}, transport::Scheduler::now() + 15);
+    auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
+    forwarded_request->lane = "segment", forwarded_request->name = request, forwarded_request->body = body;
+    peer->attempt({request}, {0}, forwarded_request, {.source = {"c1"}}, transport::Scheduler::now() + 15);
   }
   void ended(const RequestId&, AttemptNumber, const NodeId&, Result result, Note, Seconds, LoadReport,
              Content content) override {
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -43,7 +43,7 @@
 }
 
 // Whoever asked for the requests of a site.
-class Client : public Asker {
+class Client : public ResponseSink {
  public:
   void completed(const RequestId&, Content) override { ++served; }
   void bounced(const RequestId&, Seconds) override { ++rejected; }
@@ -149,10 +149,10 @@
   const auto client = std::make_shared<Client>();
   connect_failure = {EADDRNOTAVAIL, 2 * std::stoi(Rig::usual_settings().at("Permissions.MaxAttempts"))};
   for (const bool write : {false, true}) {  // the write is binding: one that was not sent may still be sent
-    auto wording = std::make_shared<protocol::Wording>();
-    wording->lane = write ? "write" : "video", wording->name = "7f";
+    auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
+    forwarded_request->lane = write ? "write" : "video", forwarded_request->name = "7f";
     module.request_arrived({write ? "write" : "read"}, {write ? 2 : 0}, {7}, {0}, {1}, Scheduler::now() + 15,
-                           400, false, write, wording, client);
+                           400, false, write, forwarded_request, client);
   }
   std::set<std::string> answered;
   const auto answer_all = [&] {
--- a/tests/routing/peer_test.cpp
+++ b/tests/routing/peer_test.cpp
@@ -23,13 +23,15 @@
     peer = std::make_shared<Peer>(scheduler, limits, counters, links, NodeId{"c1"}, address, *this);
     peer->start();
   }
-  std::shared_ptr<protocol::Wording> attempt(const std::string& request, int number = 0, Seconds wait = 15,
-                                             std::size_t body = 0, Seconds oldest_copy = 0) {
-    auto wording = std::make_shared<protocol::Wording>();
-    wording->lane = "segment", wording->name = request, wording->body = std::string(body, 'b');
-    peer->attempt({request}, {number}, wording, {.source = {"P1"}, .oldest_copy = oldest_copy},
+  std::shared_ptr<protocol::ForwardedRequest> attempt(const std::string& request, int number = 0,
+                                                      Seconds wait = 15, std::size_t body = 0,
+                                                      Seconds oldest_copy = 0) {
+    auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
+    forwarded_request->lane = "segment", forwarded_request->name = request,
+    forwarded_request->body = std::string(body, 'b');
+    peer->attempt({request}, {number}, forwarded_request, {.source = {"P1"}, .oldest_copy = oldest_copy},
                   Scheduler::now() + wait);
-    return wording;
+    return forwarded_request;
   }
   void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result, Note, Seconds,
              LoadReport, Content content) override {
