--- a/experiments/capacity/simulated_director.hpp
+++ b/experiments/capacity/simulated_director.hpp
@@ -13,7 +13,7 @@
 #include "capacity/recorder.hpp"
 #include "distribution/subscription.hpp"
 #include "program/config.hpp"
-#include "routing/module.hpp"
+#include "routing/director_actor.hpp"
 #include "transport/scheduler.hpp"
 
 namespace hareramp::capacity {
@@ -43,7 +43,7 @@
  private:
   const program::Config& config_;
   Counters counters_;
-  routing::ModuleActor module_;
+  routing::DirectorActor module_;
   Recorder recorder_;
   distribution::Subscription changes_;
 };
--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -9,7 +9,7 @@
 #include "base/limits.hpp"
 #include "policy.hpp"
 #include "protocol/json.hpp"
-#include "routing/module.hpp"
+#include "routing/director_actor.hpp"
 #include "transport/socket.hpp"
 
 namespace hareramp::program {
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -11,8 +11,8 @@
 #include "distribution/subscription.hpp"
 #include "flow/exporter.hpp"
 #include "program/operator.hpp"
+#include "routing/director_actor.hpp"
 #include "routing/front.hpp"
-#include "routing/module.hpp"
 #include "transport/scheduler.hpp"
 #include "transport/signals.hpp"
 
@@ -170,7 +170,7 @@
   transport::Signals signals_;
   const bool change_stream_enabled_;
   std::unique_ptr<flow::Exporter> flows_;  // null: flows are not exported
-  routing::ModuleActor module_;
+  routing::DirectorActor module_;
   distribution::Subscription changes_;
   routing::Front front_;
 };
--- a/src/routing/module.cpp
+++ b/src/routing/director_actor.cpp
@@ -1,4 +1,4 @@
-#include "routing/module.hpp"
+#include "routing/director_actor.hpp"
 
 #include <algorithm>
 #include <set>
@@ -19,9 +19,9 @@
 }  // namespace
 
 // A change of the list, read straight into calls of the director; peers come and go with it.
-class ModuleActor::Changes : public protocol::ChangeHandler {
+class DirectorActor::Changes : public protocol::ChangeHandler {
  public:
-  Changes(ModuleActor& module, bool known) : module_(module), known_(known) {}
+  Changes(DirectorActor& module, bool known) : module_(module), known_(known) {}
 
   void list_starts(bool whole) override {
     whole_ = whole;
@@ -104,13 +104,13 @@
     module_.addresses_.erase(node);
   }
 
-  ModuleActor& module_;
+  DirectorActor& module_;
   bool known_, whole_ = false;
   std::set<NodeId> listed_;
 };
 
-ModuleActor::ModuleActor(Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
-                         Names names, Settings settings, std::uint64_t seed, flow::Exporter* flows)
+DirectorActor::DirectorActor(Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
+                             Names names, Settings settings, std::uint64_t seed, flow::Exporter* flows)
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
@@ -125,14 +125,14 @@
   director_ = std::make_unique<Director>(clock_.now(), std::move(settings), seed, actions);
 }
 
-ModuleActor::~ModuleActor() = default;
+DirectorActor::~DirectorActor() = default;
 
-void ModuleActor::start() {
+void DirectorActor::start() {
   scheduler_.spawn(live(*this));
   scheduler_.spawn(hear(*this));
 }
 
-Task<> ModuleActor::live(ModuleActor& self) {
+Task<> DirectorActor::live(DirectorActor& self) {
   for (auto call = co_await self.mailbox_.next(); call; call = co_await self.mailbox_.next()) {
     while (Scheduler::now() < std::min(self.held_until_, self.deadlines_end_))
       co_await self.scheduler_.sleep_until(std::min(self.held_until_, Scheduler::now() + kHoldLook));
@@ -142,27 +142,27 @@
     self.scheduler_.run_guarded(call);
   }
 }
-Task<> ModuleActor::hear(ModuleActor& self) { co_await self.told_.serve(); }
+Task<> DirectorActor::hear(DirectorActor& self) { co_await self.told_.serve(); }
 
 // Guards against a machine so short of cores that every turn is late: held anew each time, the module would
 // never get to a request, nor the last resort to its answer. It hurts a second long pause right after a
 // first.
-void ModuleActor::woke_late(Seconds listen_until) {
+void DirectorActor::woke_late(Seconds listen_until) {
   constexpr Seconds kHoldAgain =
       1;  // s: the shortest grace on drains; older news was heard in the hold before
   ++counters_.late_turns;
   if (listen_until > held_until_ + kHoldAgain) held_until_ = listen_until;
 }
 
-void ModuleActor::known_change_arrived(protocol::Json change) {
+void DirectorActor::known_change_arrived(protocol::Json change) {
   told_.post([this, change = std::move(change)] {
     Changes changes(*this, true);
     protocol::read_change(change, changes);
   });
 }
 
-void ModuleActor::changes_arrived(std::vector<distribution::NumberedChange> changes, bool more_waits,
-                                  std::function<void(bool taken)> done) {
+void DirectorActor::changes_arrived(std::vector<distribution::NumberedChange> changes, bool more_waits,
+                                    std::function<void(bool taken)> done) {
   changes_wait_ = more_waits;
   told_.post([this, changes = std::move(changes), done = std::move(done)] {
     try {
@@ -178,11 +178,11 @@
   });
 }
 
-void ModuleActor::request_arrived(const RequestId& request, GradeIndex grade, ObjectId object,
-                                  PartNumber part, GroupId group, Seconds hard_stop, double size_kb,
-                                  bool resent, bool is_write,
-                                  std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
-                                  std::weak_ptr<ResponseSink> response_sink) {
+void DirectorActor::request_arrived(const RequestId& request, GradeIndex grade, ObjectId object,
+                                    PartNumber part, GroupId group, Seconds hard_stop, double size_kb,
+                                    bool resent, bool is_write,
+                                    std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+                                    std::weak_ptr<ResponseSink> response_sink) {
   ++counters_.taken;
   counters_.open = ++open_;
   mailbox_.post([=, this, forwarded_request = std::move(forwarded_request),
@@ -192,10 +192,10 @@
   });
 }
 
-void ModuleActor::arrived(const RequestId& id, GradeIndex grade, ObjectId object, PartNumber part,
-                          GroupId group, Seconds hard_stop, double size_kb, bool resent, bool is_write,
-                          std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
-                          std::weak_ptr<ResponseSink> response_sink) {
+void DirectorActor::arrived(const RequestId& id, GradeIndex grade, ObjectId object, PartNumber part,
+                            GroupId group, Seconds hard_stop, double size_kb, bool resent, bool is_write,
+                            std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+                            std::weak_ptr<ResponseSink> response_sink) {
   if (requests_.contains(
           id)) {  // an id that is not new can't be told from the first: no second answer to that
     ++counters_.forfeited;
@@ -213,13 +213,13 @@
 }
 
 // Guards against a request that nothing would ever end; the module's own time-outs come first.
-void ModuleActor::watch_overdue(const RequestId& id, Request& request) {
+void DirectorActor::watch_overdue(const RequestId& id, Request& request) {
   request.last_resort =
       scheduler_.at(request.hard_stop + limits_.overdue, [this, id] { end_by_last_resort(id); });
 }
 
 // By the mailbox of changes, which is never held.
-void ModuleActor::deadlines_end(Seconds at) {
+void DirectorActor::deadlines_end(Seconds at) {
   deadlines_end_ = at;
   told_.post([this, at] {
     for (auto& [id, request] : requests_) {
@@ -232,25 +232,25 @@
   });
 }
 
-ModuleActor::Request* ModuleActor::owed(const RequestId& id) {
+DirectorActor::Request* DirectorActor::owed(const RequestId& id) {
   const auto found = requests_.find(id);
   return found != requests_.end() && found->second.owed ? &found->second : nullptr;
 }
 
-void ModuleActor::answered(Request& request) {
+void DirectorActor::answered(Request& request) {
   request.owed = false;
   scheduler_.cancel(request.last_resort);
   counters_.open = --open_;
 }
 
-void ModuleActor::forget_if_quiet(const RequestId& id) {
+void DirectorActor::forget_if_quiet(const RequestId& id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.owed) return;
   const auto& outs = found->second.outs;
   if (std::none_of(outs.begin(), outs.end(), [](const Out& out) { return out.out; })) requests_.erase(found);
 }
 
-void ModuleActor::request_left(const RequestId& id) {
+void DirectorActor::request_left(const RequestId& id) {
   mailbox_.post([this, id] {
     Request* request = owed(id);
     if (!request) return;  // its answer was on the way
@@ -261,7 +261,7 @@
   });
 }
 
-void ModuleActor::end_by_last_resort(const RequestId& id) {
+void DirectorActor::end_by_last_resort(const RequestId& id) {
   mailbox_.post([this, id] {
     Request* request = owed(id);
     if (!request) return;
@@ -272,15 +272,16 @@
   });
 }
 
-void ModuleActor::ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
-                        Note note, Seconds waited, LoadReport report, Content content) {
+void DirectorActor::ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
+                          Note note, Seconds waited, LoadReport report, Content content) {
   mailbox_.post([=, this, report = std::move(report), content = std::move(content)]() mutable {
     attempt_ended(request, number, node, result, note, waited, report, std::move(content));
   });
 }
 
-void ModuleActor::attempt_ended(const RequestId& id, AttemptNumber number, const NodeId& node, Result result,
-                                Note note, Seconds waited, const LoadReport& report, Content content) {
+void DirectorActor::attempt_ended(const RequestId& id, AttemptNumber number, const NodeId& node,
+                                  Result result, Note note, Seconds waited, const LoadReport& report,
+                                  Content content) {
   const auto found = requests_.find(id);
   const auto place = static_cast<std::size_t>(number.value);
   if (found == requests_.end() || place >= found->second.outs.size()) return;
@@ -301,7 +302,7 @@
   forget_if_quiet(id);
 }
 
-void ModuleActor::count(Result result) {
+void DirectorActor::count(Result result) {
   switch (result) {
     case Result::kCompleted:
       ++counters_.ended_completed;
@@ -334,7 +335,8 @@
   }
 }
 
-void ModuleActor::attempt(const RequestId& id, const NodeId& node, const FillTerms& fill, Seconds time_out) {
+void DirectorActor::attempt(const RequestId& id, const NodeId& node, const FillTerms& fill,
+                            Seconds time_out) {
   Request* request = owed(id);
   if (!request) return;
   const AttemptNumber number{static_cast<int>(request->outs.size())};
@@ -350,7 +352,7 @@
   peer->second->attempt(id, number, request->forwarded_request, fill, until);
 }
 
-void ModuleActor::cancel(const RequestId& id, AttemptNumber number) {
+void DirectorActor::cancel(const RequestId& id, AttemptNumber number) {
   const auto found = requests_.find(id);
   const auto place = static_cast<std::size_t>(number.value);
   if (found == requests_.end() || place >= found->second.outs.size()) return;
@@ -358,7 +360,7 @@
   if (peer != peers_.end()) peer->second->cancel(id, number);
 }
 
-void ModuleActor::bounce(const RequestId& id, Seconds come_back_in) {
+void DirectorActor::bounce(const RequestId& id, Seconds come_back_in) {
   Request* request = owed(id);
   if (!request) return;
   answered(*request);
@@ -367,7 +369,7 @@
   mailbox_.post([this, id] { forget_if_quiet(id); });
 }
 
-void ModuleActor::forfeit(const RequestId& id) {
+void DirectorActor::forfeit(const RequestId& id) {
   Request* request = owed(id);
   if (!request) return;
   answered(*request);
@@ -376,7 +378,7 @@
   mailbox_.post([this, id] { forget_if_quiet(id); });
 }
 
-void ModuleActor::wake(Seconds at, const TimerToken& token) {
+void DirectorActor::wake(Seconds at, const TimerToken& token) {
   scheduler_.at(clock_.to_scheduler(at), [this, token] {
     mailbox_.post([this, token] {
       director_->woken(clock_.now(), token);
@@ -386,13 +388,13 @@
 }
 
 // No deployment lets a director probe today; the module does not ask for it.
-void ModuleActor::probe(const NodeId& node) {
+void DirectorActor::probe(const NodeId& node) {
   mailbox_.post([this, node] { director_->probe_ended(clock_.now(), node, Result::kNotSent, {}); });
 }
 
 // The change log is followed from the start, whatever the module asks.
-void ModuleActor::follow_list() {}
+void DirectorActor::follow_list() {}
 
-void ModuleActor::log(const std::string& words) { log_.info("module", "{}", words); }
+void DirectorActor::log(const std::string& words) { log_.info("module", "{}", words); }
 
 }  // namespace hareramp::routing
--- a/src/routing/module.hpp
+++ b/src/routing/director_actor.hpp
@@ -38,11 +38,11 @@
   std::vector<bool> writes;  // by grade, where the settings tell
 };
 
-class ModuleActor : public Attempts, public distribution::ChangeReceiver, private Actions {
+class DirectorActor : public Attempts, public distribution::ChangeReceiver, private Actions {
  public:
-  ModuleActor(transport::Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
-              Names names, Settings settings, std::uint64_t seed, flow::Exporter* flows = nullptr);
-  ~ModuleActor() override;
+  DirectorActor(transport::Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
+                Names names, Settings settings, std::uint64_t seed, flow::Exporter* flows = nullptr);
+  ~DirectorActor() override;
 
   void start();
   std::size_t open_requests() const { return open_; }
@@ -100,8 +100,8 @@
   void answered(Request& request);
   void forget_if_quiet(const RequestId& request);
   void count(Result result);
-  static transport::Task<> live(ModuleActor& self);
-  static transport::Task<> hear(ModuleActor& self);
+  static transport::Task<> live(DirectorActor& self);
+  static transport::Task<> hear(DirectorActor& self);
 
   // Actions, called from within the director.
   void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill,
--- a/src/routing/front.cpp
+++ b/src/routing/front.cpp
@@ -90,7 +90,7 @@
 }  // namespace
 
 Front::Front(Scheduler& scheduler, const Limits& limits, Counters& counters, const transport::Address& at,
-             const Names& names, ModuleActor& module, flow::Exporter* flows)
+             const Names& names, DirectorActor& module, flow::Exporter* flows)
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
--- a/src/routing/front.hpp
+++ b/src/routing/front.hpp
@@ -12,7 +12,7 @@
 #include "base/limits.hpp"
 #include "flow/exporter.hpp"
 #include "protocol/http.hpp"
-#include "routing/module.hpp"
+#include "routing/director_actor.hpp"
 #include "transport/buffer.hpp"
 #include "transport/mailbox.hpp"
 #include "transport/scheduler.hpp"
@@ -27,7 +27,7 @@
 class Front {
  public:
   Front(transport::Scheduler& scheduler, const Limits& limits, Counters& counters,
-        const transport::Address& at, const Names& names, ModuleActor& module,
+        const transport::Address& at, const Names& names, DirectorActor& module,
         flow::Exporter* flows = nullptr);
   ~Front();
 
@@ -55,7 +55,7 @@
   Counters& counters_;
   transport::Listener listener_;
   const Names names_;
-  ModuleActor& module_;
+  DirectorActor& module_;
   flow::Exporter* const flows_;  // null: flows are not exported
   std::list<std::shared_ptr<Client>> clients_;
   std::size_t waiting_answers_ = 0;  // bytes
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -13,8 +13,8 @@
 
 #include "helpers.hpp"
 #include "program/config.hpp"
+#include "routing/director_actor.hpp"
 #include "routing/front.hpp"
-#include "routing/module.hpp"
 
 using namespace hareramp;
 using namespace hareramp::routing;
@@ -245,7 +245,7 @@
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
   StandIn cache{scheduler}, parent{scheduler}, origin{scheduler};
-  std::optional<ModuleActor> module;
+  std::optional<DirectorActor> module;
   std::optional<Front> front;
 };
 
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -8,8 +8,8 @@
 
 #include "helpers.hpp"
 #include "program/serve.hpp"
+#include "routing/director_actor.hpp"
 #include "routing/ends.hpp"
-#include "routing/module.hpp"
 
 using namespace hareramp;
 using namespace hareramp::routing;
@@ -132,7 +132,7 @@
   Log log{fileno(sink)};
   const Names names{
       {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
-  ModuleActor module(scheduler, limits, counters, log, names, Rig::usual_settings(), 7);
+  DirectorActor module(scheduler, limits, counters, log, names, Rig::usual_settings(), 7);
   module.start();
   const auto entry = [](const char* id, const StandIn& node, const char* zone, const char* kind) {
     return R"({"id":")" + std::string(id) + R"(","addr":")" + node.address.text() + R"(","zone":")" + zone +
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -2,8 +2,8 @@
 #include "distribution/subscription.hpp"
 #include "helpers.hpp"
 #include "program/serve.hpp"
+#include "routing/director_actor.hpp"
 #include "routing/front.hpp"
-#include "routing/module.hpp"
 #include "transport/clock.hpp"
 
 using namespace hareramp;
@@ -89,7 +89,7 @@
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
   StandIn cache{scheduler}, parent{scheduler}, origin{scheduler};
-  std::optional<ModuleActor> module;
+  std::optional<DirectorActor> module;
   std::optional<Front> front;
   ~Site() { std::fclose(sink); }
 };
--- a/tests/routing/shutdown_test.cpp
+++ b/tests/routing/shutdown_test.cpp
@@ -1,8 +1,8 @@
 // The module's actor at the director's end, on loopback with a silent node.
 #include "helpers.hpp"
 #include "program/config.hpp"
+#include "routing/director_actor.hpp"
 #include "routing/front.hpp"
-#include "routing/module.hpp"
 
 using namespace hareramp;
 using namespace hareramp::routing;
@@ -47,7 +47,7 @@
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
   StandIn origin{scheduler};
-  std::optional<ModuleActor> module;
+  std::optional<DirectorActor> module;
   std::optional<Front> front;
 };
 
--- a/tests/wall_clock/wall_clock_test.cpp
+++ b/tests/wall_clock/wall_clock_test.cpp
@@ -3,8 +3,8 @@
 
 #include "helpers.hpp"
 #include "program/config.hpp"
+#include "routing/director_actor.hpp"
 #include "routing/front.hpp"
-#include "routing/module.hpp"
 #include "transport/clock.hpp"
 
 using namespace hareramp;
@@ -80,7 +80,7 @@
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
   StandIn cache{scheduler}, origin{scheduler};
-  std::optional<ModuleActor> module;
+  std::optional<DirectorActor> module;
   std::optional<Front> front;
 };
 
