--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -51,7 +51,7 @@
   void list_ends() override {
     if (whole_) {
       std::vector<NodeId> missing;
-      for (const auto& [node, peer] : module_.peers_)
+      for (const auto& [node, peer] : module_.upstream_nodes_)
         if (!listed_.contains(node)) missing.push_back(node);
       for (const NodeId& node : missing) retire(node);
     }
@@ -85,10 +85,11 @@
                                            : ipfix::Part::kEdge;
   }
   void connect(const NodeId& node, transport::Address address, const std::string& kind) {
-    auto& peer = module_.peers_[node];
+    auto& peer = module_.upstream_nodes_[node];
     if (!peer) {
-      peer = std::make_shared<Peer>(module_.scheduler_, module_.limits_, module_.counters_, module_.links_,
-                                    node, address, module_, module_.flows_, part_of(kind));
+      peer = std::make_shared<UpstreamNode>(module_.scheduler_, module_.limits_, module_.counters_,
+                                            module_.links_, node, address, module_, module_.flows_,
+                                            part_of(kind));
       peer->start();
     } else if (!(module_.addresses_[node] == address)) {
       peer->moved(address);
@@ -97,10 +98,10 @@
   }
   void retire(const NodeId& node) {
     module_.start_times_.forget(node);
-    const auto found = module_.peers_.find(node);
-    if (found == module_.peers_.end()) return;
+    const auto found = module_.upstream_nodes_.find(node);
+    if (found == module_.upstream_nodes_.end()) return;
     found->second->gone();
-    module_.peers_.erase(found);
+    module_.upstream_nodes_.erase(found);
     module_.addresses_.erase(node);
   }
 
@@ -343,10 +344,10 @@
   const Seconds now = Scheduler::now();
   request->outs.push_back({node, now});
   ++counters_.attempts;
-  const auto peer = peers_.find(node);
+  const auto peer = upstream_nodes_.find(node);
   // Its time may have gone by while the process stood still, or its client has left: nobody waits for it any
   // more.
-  if (peer == peers_.end() || now >= request->hard_stop || request->forwarded_request->client_gone)
+  if (peer == upstream_nodes_.end() || now >= request->hard_stop || request->forwarded_request->client_gone)
     return ended(id, number, node, Result::kNotSent, Note::kNone, 0, {}, {});
   const Seconds until = time_out > 0 ? std::min(now + time_out, request->hard_stop) : request->hard_stop;
   peer->second->attempt(id, number, request->forwarded_request, fill, until);
@@ -356,8 +357,8 @@
   const auto found = requests_.find(id);
   const auto place = static_cast<std::size_t>(number.value);
   if (found == requests_.end() || place >= found->second.outs.size()) return;
-  const auto peer = peers_.find(found->second.outs[place].node);
-  if (peer != peers_.end()) peer->second->cancel(id, number);
+  const auto peer = upstream_nodes_.find(found->second.outs[place].node);
+  if (peer != upstream_nodes_.end()) peer->second->cancel(id, number);
 }
 
 void DirectorActor::bounce(const RequestId& id, Seconds come_back_in) {
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -16,7 +16,7 @@
 #include "policy/start_times.hpp"
 #include "protocol/events.hpp"
 #include "protocol/lines.hpp"
-#include "routing/peer.hpp"
+#include "routing/upstream_node.hpp"
 #include "transport/clock.hpp"
 #include "transport/mailbox.hpp"
 #include "transport/scheduler.hpp"
@@ -127,7 +127,7 @@
   Seconds deadlines_end_ = transport::kNever;  // no deadline lies after that, and nothing is held for longer
   bool changes_wait_ = false;                  // the change stream had more to read than it has brought
   std::size_t links_ = 0, open_ = 0;
-  std::map<NodeId, std::shared_ptr<Peer>> peers_;
+  std::map<NodeId, std::shared_ptr<UpstreamNode>> upstream_nodes_;
   std::map<NodeId, transport::Address> addresses_;
   std::map<RequestId, Request> requests_;
   policy::StartTimes start_times_;
--- a/src/routing/peer.cpp
+++ b/src/routing/upstream_node.cpp
@@ -1,4 +1,4 @@
-#include "routing/peer.hpp"
+#include "routing/upstream_node.hpp"
 
 #include <algorithm>
 #include <set>
@@ -16,11 +16,11 @@
 constexpr Seconds kWriteAgain = 0.01;  // s: after a write that failed, while the connection stands
 }  // namespace
 
-class Peer::Link : public protocol::AnswerHandler {
+class UpstreamNode::UpstreamConnection : public protocol::AnswerHandler {
  public:
   enum class State { kConnecting, kUp, kClosed };
 
-  Link(Peer& owner, const Limits& limits)
+  UpstreamConnection(UpstreamNode& owner, const Limits& limits)
       : peer(owner), in(limits.buffer_kept), parser(limits.answer_line, limits.answer_body) {}
 
   void answer(std::string_view id, Result result, Note note, Seconds waited, bool same_copy,
@@ -59,8 +59,8 @@
                         [&](const UpstreamMessage& piece) { return piece.request == request; });
   }
 
-  Peer& peer;
-  std::weak_ptr<Link> self;
+  UpstreamNode& peer;
+  std::weak_ptr<UpstreamConnection> self;
   State state = State::kConnecting;
   transport::Socket socket;
   flow::Tap* tap = nullptr;  // in the socket, as long as that is open
@@ -69,7 +69,7 @@
   std::deque<UpstreamMessage> out;
   std::size_t out_sent = 0;   // bytes of the first piece that are written
   bool writes_again = false;  // after a write that failed, in a moment
-  bool draining = false, retiring = false, doubted = false;
+  bool draining = false, retiring = false, suspect = false;
   bool served = false;  // the node has answered something on it but that it is full
   std::map<RequestId, Open> open;
   std::set<RequestId> heard_of;  // given up or answered, but not completed: an answer may still come
@@ -79,8 +79,9 @@
   bool idle_watched = false;
 };
 
-Peer::Peer(Scheduler& scheduler, const Limits& limits, Counters& counters, std::size_t& links, NodeId node,
-           transport::Address address, Attempts& told, flow::Exporter* flows, ipfix::Part part)
+UpstreamNode::UpstreamNode(Scheduler& scheduler, const Limits& limits, Counters& counters, std::size_t& links,
+                           NodeId node, transport::Address address, Attempts& told, flow::Exporter* flows,
+                           ipfix::Part part)
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
@@ -92,38 +93,38 @@
       part_(part),
       mailbox_(scheduler) {}
 
-void Peer::start() { scheduler_.spawn(live(shared_from_this())); }
+void UpstreamNode::start() { scheduler_.spawn(live(shared_from_this())); }
 
-Task<> Peer::live(std::shared_ptr<Peer> self) { co_await self->mailbox_.serve(); }
+Task<> UpstreamNode::live(std::shared_ptr<UpstreamNode> self) { co_await self->mailbox_.serve(); }
 
-void Peer::attempt(const RequestId& request, AttemptNumber number,
-                   std::shared_ptr<const protocol::ForwardedRequest> forwarded_request, const FillTerms& fill,
-                   Seconds give_up_at) {
+void UpstreamNode::attempt(const RequestId& request, AttemptNumber number,
+                           std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+                           const FillTerms& fill, Seconds give_up_at) {
   mailbox_.post(
       [this, number,
        message = UpstreamMessage::attempt(request, std::move(forwarded_request), fill,
                                           give_up_at)]() mutable { send(number, std::move(message)); });
 }
 
-void Peer::cancel(const RequestId& request, AttemptNumber number) {
+void UpstreamNode::cancel(const RequestId& request, AttemptNumber number) {
   mailbox_.post([this, request, number] { give_up(request, number, Result::kCancelled); });
 }
 
 // What is out stays with the old address until it ends; only new work goes to the new one.
-void Peer::moved(transport::Address address) {
+void UpstreamNode::moved(transport::Address address) {
   mailbox_.post([this, address] {
     address_ = address;
-    for (const LinkPointer& link : std::list<LinkPointer>(links_)) {
+    for (const ConnectionPointer& link : std::list<ConnectionPointer>(links_)) {
       link->retiring = true;
       settle(link);
     }
   });
 }
 
-void Peer::gone() {
+void UpstreamNode::gone() {
   mailbox_.post([this] {
     gone_ = true;
-    for (const LinkPointer& link : std::list<LinkPointer>(links_)) settle(link);
+    for (const ConnectionPointer& link : std::list<ConnectionPointer>(links_)) settle(link);
     if (links_.empty()) mailbox_.close();
   });
 }
@@ -133,11 +134,11 @@
 // else is out on such a connection is lost with it. Costs descriptors, and a connection set up now and then.
 // The same id may not be there twice, also not while an answer to an earlier attempt may still come: nothing
 // on the wire would tell the two apart.
-Peer::LinkPointer Peer::choose_link(const RequestId& request) {
-  const LinkPointer least = least_used_link(request, false);
+UpstreamNode::ConnectionPointer UpstreamNode::choose_link(const RequestId& request) {
+  const ConnectionPointer least = least_used_link(request, false);
   if (least && least->open.empty()) return least;
   if (links_.size() >= limits_.links_per_node || links_held_ >= limits_.links) return least;
-  const auto link = std::make_shared<Link>(*this, limits_);
+  const auto link = std::make_shared<UpstreamConnection>(*this, limits_);
   link->self = link;
   links_.push_back(link);
   ++links_held_;
@@ -145,24 +146,24 @@
   return link;
 }
 
-Peer::LinkPointer Peer::least_used_link(const RequestId& request, bool must_be_up) {
+UpstreamNode::ConnectionPointer UpstreamNode::least_used_link(const RequestId& request, bool must_be_up) {
   const Seconds old = Scheduler::now() - limits_.link_idle;
-  LinkPointer least;
-  for (const LinkPointer& link : links_) {
-    if (must_be_up && link->state != Link::State::kUp) continue;
-    if (link->retiring || link->doubted || link->open.size() >= limits_.streams_per_link) continue;
+  ConnectionPointer least;
+  for (const ConnectionPointer& link : links_) {
+    if (must_be_up && link->state != UpstreamConnection::State::kUp) continue;
+    if (link->retiring || link->suspect || link->open.size() >= limits_.streams_per_link) continue;
     link->forget_until(old);
     if (link->open.contains(request) || link->heard_of.contains(request)) continue;
-    if (link->open.empty() && link->state == Link::State::kUp && link->socket.ended()) continue;
+    if (link->open.empty() && link->state == UpstreamConnection::State::kUp && link->socket.ended()) continue;
     if (!least || link->open.size() < least->open.size()) least = link;
   }
   return least;
 }
 
-void Peer::send(AttemptNumber number, UpstreamMessage message) {
+void UpstreamNode::send(AttemptNumber number, UpstreamMessage message) {
   const RequestId request = message.request;
   const Seconds now = Scheduler::now();
-  const LinkPointer link = message.may_begin(now) ? choose_link(request) : nullptr;
+  const ConnectionPointer link = message.may_begin(now) ? choose_link(request) : nullptr;
   if (!link) return told_.ended(request, number, node_, Result::kNotSent, Note::kNone, 0, {}, {});
   const Seconds give_up_at = message.give_up_at;
   Open open;
@@ -175,12 +176,12 @@
   pump(link);
 }
 
-Scheduler::TimerKey Peer::watch(const RequestId& request, AttemptNumber number, Seconds until,
-                                Seconds give_up_at) {
+Scheduler::TimerKey UpstreamNode::watch(const RequestId& request, AttemptNumber number, Seconds until,
+                                        Seconds give_up_at) {
   return scheduler_.at(until, [weak = weak_from_this(), request, number, give_up_at] {
     const auto peer = weak.lock();
     if (!peer) return;
-    for (const LinkPointer& link : peer->links_) {
+    for (const ConnectionPointer& link : peer->links_) {
       const auto found = link->open.find(request);
       if (found == link->open.end() || found->second.number != number) continue;
       if (!link->begun(request) || Scheduler::now() >= give_up_at) break;
@@ -191,8 +192,8 @@
   });
 }
 
-void Peer::give_up(const RequestId& request, AttemptNumber number, Result result) {
-  for (const LinkPointer& link : std::list<LinkPointer>(links_)) {
+void UpstreamNode::give_up(const RequestId& request, AttemptNumber number, Result result) {
+  for (const ConnectionPointer& link : std::list<ConnectionPointer>(links_)) {
     const auto found = link->open.find(request);
     if (found == link->open.end() || found->second.number != number) continue;
     const Open open = found->second;
@@ -214,17 +215,17 @@
     // Guards against a node that vanished without a word: its connections look open for ever. Also meets a
     // path that went dead. Costs a connection set up anew where a node was only slow.
     if (link->heard_at < open.written_at && now - open.written_at > limits_.link_doubt) {
-      link->doubted = true;
+      link->suspect = true;
       ++counters_.links_doubted;
     }
     end(link, request, result, Note::kNone, 0, {}, {});
-    if (link->state == Link::State::kUp) pump(link);
+    if (link->state == UpstreamConnection::State::kUp) pump(link);
     return;
   }
 }
 
-void Peer::end(const LinkPointer& link, const RequestId& request, Result result, Note note, Seconds waited,
-               LoadReport report, Content content) {
+void UpstreamNode::end(const ConnectionPointer& link, const RequestId& request, Result result, Note note,
+                       Seconds waited, LoadReport report, Content content) {
   const auto found = link->open.find(request);
   const AttemptNumber number = found->second.number;
   book(*link, found->second, result, note, 0);
@@ -236,9 +237,9 @@
 
 // A connection with nothing out closes if it is not to be used again, and else after a while, before the
 // node does: an attempt that crosses the node's close would count as one that may have run.
-void Peer::settle(const LinkPointer& link) {
-  if (link->state != Link::State::kUp || !link->open.empty()) return;
-  if (link->retiring || link->doubted || gone_) {
+void UpstreamNode::settle(const ConnectionPointer& link) {
+  if (link->state != UpstreamConnection::State::kUp || !link->open.empty()) return;
+  if (link->retiring || link->suspect || gone_) {
     scheduler_.at(Scheduler::now(), [peer = shared_from_this(), link] {
       if (link->open.empty()) peer->drop(link);
     });
@@ -248,11 +249,11 @@
   if (!std::exchange(link->idle_watched, true)) watch_idle(link, link->idle_since + limits_.link_idle);
 }
 
-void Peer::watch_idle(const LinkPointer& link, Seconds until) {
+void UpstreamNode::watch_idle(const ConnectionPointer& link, Seconds until) {
   scheduler_.at(until, [weak = weak_from_this(), link] {
     const auto peer = weak.lock();
     link->idle_watched = false;
-    if (!peer || link->state != Link::State::kUp || !link->open.empty()) return;
+    if (!peer || link->state != UpstreamConnection::State::kUp || !link->open.empty()) return;
     const Seconds due = link->idle_since + peer->limits_.link_idle;
     if (Scheduler::now() < due) {
       link->idle_watched = true;
@@ -264,9 +265,9 @@
 }
 
 // Ends the connection; what is out on it ends by what is known of it.
-void Peer::drop(const LinkPointer& link) {
-  if (link->state == Link::State::kClosed) return;
-  link->state = Link::State::kClosed;
+void UpstreamNode::drop(const ConnectionPointer& link) {
+  if (link->state == UpstreamConnection::State::kClosed) return;
+  link->state = UpstreamConnection::State::kClosed;
   for (auto& [request, open] : link->open)
     book(*link, open, open.written ? Result::kBroken : Result::kNotSent, Note::kNone, 0);
   link->tap = nullptr;  // goes with the socket
@@ -276,7 +277,7 @@
   end_all(link, Result::kBroken, Result::kNotSent, true);
 }
 
-void Peer::forget(const LinkPointer& link) {
+void UpstreamNode::forget(const ConnectionPointer& link) {
   links_.remove(link);
   --links_held_;
   if (gone_ && links_.empty()) mailbox_.close();
@@ -284,14 +285,15 @@
 
 // What has not come whole to the node never ran, and goes on once on another connection if it may: a reset
 // of one connection says little of the node.
-void Peer::end_all(const LinkPointer& link, Result written, Result unwritten, bool may_move_on) {
+void UpstreamNode::end_all(const ConnectionPointer& link, Result written, Result unwritten,
+                           bool may_move_on) {
   while (!link->open.empty()) {
     const RequestId request = link->open.begin()->first;
     Open& open = link->open.begin()->second;
     const auto message =
         std::find_if(link->out.begin(), link->out.end(),
                      [&](const UpstreamMessage& waiting) { return waiting.request == request; });
-    LinkPointer other;
+    ConnectionPointer other;
     if (!open.written && !open.moved_on && may_move_on && !gone_ && message != link->out.end())
       other = choose_link(request);
     if (!other) {
@@ -305,18 +307,19 @@
   link->out.clear();
 }
 
-void Peer::move_attempt(const LinkPointer& from, UpstreamMessage message, const LinkPointer& to) {
+void UpstreamNode::move_attempt(const ConnectionPointer& from, UpstreamMessage message,
+                                const ConnectionPointer& to) {
   to->open.insert(from->open.extract(message.request));
   message.bytes.clear();  // out of date by the time they are written there
   to->out.push_back(std::move(message));
   pump(to);
 }
 
-void Peer::move_to_links_that_are_up(const LinkPointer& link) {
+void UpstreamNode::move_to_links_that_are_up(const ConnectionPointer& link) {
   for (std::size_t left = link->out.size(); left > 0; --left) {
     UpstreamMessage message = std::move(link->out.front());
     link->out.pop_front();
-    const LinkPointer other = least_used_link(message.request, true);
+    const ConnectionPointer other = least_used_link(message.request, true);
     if (other) {
       move_attempt(link, std::move(message), other);
     } else {
@@ -325,7 +328,8 @@
   }
 }
 
-void Peer::book(Link& link, Open& open, Result result, Note note, std::size_t octets_read) {
+void UpstreamNode::book(UpstreamConnection& link, Open& open, Result result, Note note,
+                        std::size_t octets_read) {
   if (!link.tap) return;
   using ipfix::Outcome;
   Outcome outcome = Outcome::kForfeited;
@@ -343,7 +347,7 @@
 }
 
 // Notes so many more bytes of the first message as written, and whether that is whole now.
-void Peer::wrote(Link& link, std::size_t bytes) {
+void UpstreamNode::wrote(UpstreamConnection& link, std::size_t bytes) {
   const UpstreamMessage& first = link.out.front();
   const auto found = link.open.find(first.request);
   const bool of_attempt = found != link.open.end();
@@ -358,7 +362,7 @@
   link.out.pop_front();
 }
 
-bool Peer::prepare_first(const LinkPointer& link) {
+bool UpstreamNode::prepare_first(const ConnectionPointer& link) {
   UpstreamMessage& message = link->out.front();
   const Seconds now = Scheduler::now();
   if (message.may_begin(now)) {
@@ -376,7 +380,7 @@
 // The end of a write is held back for a moment: as long as it is, the write can't have run. Guards against
 // connections that are reset when new, when idle or while a request comes, where nobody could say whether a
 // write had run, and so it could not be sent again. Costs a write that moment.
-bool Peer::write_out(const LinkPointer& link) {
+bool UpstreamNode::write_out(const ConnectionPointer& link) {
   while (!link->out.empty()) {
     if (link->out_sent == 0 && !prepare_first(link)) continue;
     UpstreamMessage& piece = link->out.front();
@@ -405,7 +409,7 @@
 
 // Guards against a write that fails for want of memory on our own side: the connection stands, and nothing
 // else would tell when to write again. Costs a vain try where the reading side has not yet seen the end.
-void Peer::write_again_later(const LinkPointer& link) {
+void UpstreamNode::write_again_later(const ConnectionPointer& link) {
   if (std::exchange(link->writes_again, true)) return;
   scheduler_.at(Scheduler::now() + kWriteAgain, [self = shared_from_this(), link] {
     link->writes_again = false;
@@ -413,16 +417,16 @@
   });
 }
 
-void Peer::pump(const LinkPointer& link) {
-  if (link->state != Link::State::kUp || link->draining || write_out(link)) return;
+void UpstreamNode::pump(const ConnectionPointer& link) {
+  if (link->state != UpstreamConnection::State::kUp || link->draining || write_out(link)) return;
   link->draining = true;
   scheduler_.spawn(drain(shared_from_this(), link));
 }
 
 // Tries before it waits, each time: room that came in between is not told again.
-Task<> Peer::drain(std::shared_ptr<Peer> self, LinkPointer link) {
+Task<> UpstreamNode::drain(std::shared_ptr<UpstreamNode> self, ConnectionPointer link) {
   try {
-    while (link->state == Link::State::kUp && !self->write_out(link)) {
+    while (link->state == UpstreamConnection::State::kUp && !self->write_out(link)) {
       const transport::Wake wake = co_await link->socket.writable(kNever);
       if (wake != transport::Wake::kReady) break;
     }
@@ -433,7 +437,7 @@
   link->draining = false;
 }
 
-Task<> Peer::run(std::shared_ptr<Peer> self, LinkPointer link) {
+Task<> UpstreamNode::run(std::shared_ptr<UpstreamNode> self, ConnectionPointer link) {
   try {
     co_await self->follow(link);
   } catch (...) {  // no memory for what came in, say: the connection goes, and the loop tells of it
@@ -443,14 +447,14 @@
   self->drop(link);
 }
 
-Task<> Peer::follow(LinkPointer link) {
+Task<> UpstreamNode::follow(ConnectionPointer link) {
   const Seconds until = Scheduler::now() + limits_.connect;
   transport::Connected connected = co_await transport::connect(scheduler_, address_, until);
   if (connected.end != transport::ConnectEnd::kUp) {
     ++counters_.links_failed;
     const bool ours = connected.end == transport::ConnectEnd::kLocalFailure;
     const bool reset = connected.end == transport::ConnectEnd::kReset;
-    link->state = Link::State::kClosed;
+    link->state = UpstreamConnection::State::kClosed;
     forget(link);
     if (ours) move_to_links_that_are_up(link);
     end_all(link, Result::kBroken, ours ? Result::kLocalFailure : Result::kUnreachable, reset);
@@ -463,11 +467,11 @@
     link->tap = tap.get();
     link->socket.observe(std::move(tap));
   }
-  link->state = Link::State::kUp;
+  link->state = UpstreamConnection::State::kUp;
   link->heard_at = Scheduler::now();
   pump(link);
   settle(link);
-  while (link->state == Link::State::kUp) {
+  while (link->state == UpstreamConnection::State::kUp) {
     const std::size_t room = std::max(limits_.read_room, link->parser.wanted());
     // Guards against an answer that stops short: nothing behind it on this connection can be read any more.
     const bool amid = link->in.size() > 0;
@@ -476,7 +480,7 @@
     if (io.end == IoEnd::kTimedOut) ++counters_.links_stalled;
     if (!io.ok()) break;
     link->heard_at = Scheduler::now();
-    link->doubted = false;
+    link->suspect = false;
     std::size_t used = 0;
     const bool readable = link->parser.feed(link->in.view(), used, *link);
     link->in.consume(used);
--- a/src/routing/peer.hpp
+++ b/src/routing/upstream_node.hpp
@@ -39,12 +39,12 @@
   virtual Seconds oldest_copy(const RequestId& request) = 0;
 };
 
-class Peer : public std::enable_shared_from_this<Peer> {
+class UpstreamNode : public std::enable_shared_from_this<UpstreamNode> {
  public:
   // links counts the connections to all nodes together.
-  Peer(transport::Scheduler& scheduler, const Limits& limits, Counters& counters, std::size_t& links,
-       NodeId node, transport::Address address, Attempts& told, flow::Exporter* flows = nullptr,
-       ipfix::Part part = ipfix::Part::kUnknown);
+  UpstreamNode(transport::Scheduler& scheduler, const Limits& limits, Counters& counters, std::size_t& links,
+               NodeId node, transport::Address address, Attempts& told, flow::Exporter* flows = nullptr,
+               ipfix::Part part = ipfix::Part::kUnknown);
 
   void start();
   // Each of these only posts; the actor acts on them in order.
@@ -64,41 +64,41 @@
     ipfix::NameNumber grade, depot;  // for flow records, as is what was written of it
     std::size_t octets = 0;
   };
-  class Link;
-  using LinkPointer = std::shared_ptr<Link>;
+  class UpstreamConnection;
+  using ConnectionPointer = std::shared_ptr<UpstreamConnection>;
 
-  LinkPointer choose_link(const RequestId& request);
+  ConnectionPointer choose_link(const RequestId& request);
   // Of the connections that may carry the request the one with least out; null if there is none.
-  LinkPointer least_used_link(const RequestId& request, bool must_be_up);
+  ConnectionPointer least_used_link(const RequestId& request, bool must_be_up);
   void send(AttemptNumber number, UpstreamMessage message);
   // Looks after an attempt: at until it must have begun, at give_up_at it must have ended.
   transport::Scheduler::TimerKey watch(const RequestId& request, AttemptNumber number, Seconds until,
                                        Seconds give_up_at);
   void give_up(const RequestId& request, AttemptNumber number, Result result);
-  void end(const LinkPointer& link, const RequestId& request, Result result, Note note, Seconds waited,
+  void end(const ConnectionPointer& link, const RequestId& request, Result result, Note note, Seconds waited,
            LoadReport report, Content content);
-  void end_all(const LinkPointer& link, Result written, Result unwritten, bool may_move_on);
+  void end_all(const ConnectionPointer& link, Result written, Result unwritten, bool may_move_on);
   // Moves an attempt of which the node has nothing whole to another connection.
-  void move_attempt(const LinkPointer& from, UpstreamMessage message, const LinkPointer& to);
+  void move_attempt(const ConnectionPointer& from, UpstreamMessage message, const ConnectionPointer& to);
   // The same for the attempts of a connection that did not come up, where others are up and have room.
-  void move_to_links_that_are_up(const LinkPointer& link);
-  void drop(const LinkPointer& link);
-  void forget(const LinkPointer& link);
-  void settle(const LinkPointer& link);
-  void pump(const LinkPointer& link);
-  void write_again_later(const LinkPointer& link);
-  bool write_out(const LinkPointer& link);
+  void move_to_links_that_are_up(const ConnectionPointer& link);
+  void drop(const ConnectionPointer& link);
+  void forget(const ConnectionPointer& link);
+  void settle(const ConnectionPointer& link);
+  void pump(const ConnectionPointer& link);
+  void write_again_later(const ConnectionPointer& link);
+  bool write_out(const ConnectionPointer& link);
   // Makes the bytes of the message whose first byte is the next to go. False: it may not go any more, its
   // attempt has ended and it is taken out.
-  bool prepare_first(const LinkPointer& link);
-  void wrote(Link& link, std::size_t bytes);
+  bool prepare_first(const ConnectionPointer& link);
+  void wrote(UpstreamConnection& link, std::size_t bytes);
   // For flow records: books what was written of an attempt, and so much read, by how it ended.
-  void book(Link& link, Open& open, Result result, Note note, std::size_t octets_read);
-  static transport::Task<> live(std::shared_ptr<Peer> self);
-  void watch_idle(const LinkPointer& link, Seconds until);
-  static transport::Task<> run(std::shared_ptr<Peer> self, LinkPointer link);
-  transport::Task<> follow(LinkPointer link);
-  static transport::Task<> drain(std::shared_ptr<Peer> self, LinkPointer link);
+  void book(UpstreamConnection& link, Open& open, Result result, Note note, std::size_t octets_read);
+  static transport::Task<> live(std::shared_ptr<UpstreamNode> self);
+  void watch_idle(const ConnectionPointer& link, Seconds until);
+  static transport::Task<> run(std::shared_ptr<UpstreamNode> self, ConnectionPointer link);
+  transport::Task<> follow(ConnectionPointer link);
+  static transport::Task<> drain(std::shared_ptr<UpstreamNode> self, ConnectionPointer link);
 
   transport::Scheduler& scheduler_;
   const Limits& limits_;
@@ -110,7 +110,7 @@
   flow::Exporter* const flows_;  // null: flows are not exported
   const ipfix::Part part_;
   transport::Mailbox mailbox_;
-  std::list<LinkPointer> links_;
+  std::list<ConnectionPointer> links_;
   bool gone_ = false;
 };
 
--- a/tests/routing/ends.hpp
+++ b/tests/routing/ends.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "helpers.hpp"
-#include "routing/peer.hpp"
+#include "routing/upstream_node.hpp"
 
 namespace hareramp::routing {
 
@@ -18,7 +18,8 @@
     limits.answer_line = 200, limits.answer_body = 1 << 20;
     limits.links = 10, limits.links_per_node = 2, limits.streams_per_link = 5;
     limits.connect = limits.begin_within = limits.link_idle = limits.link_doubt = limits.link_stall = 15;
-    peer = std::make_shared<Peer>(scheduler, limits, counters, links, NodeId{"c1"}, node.address, *this);
+    peer =
+        std::make_shared<UpstreamNode>(scheduler, limits, counters, links, NodeId{"c1"}, node.address, *this);
     peer->start();
   }
   void attempt(const std::string& request, const std::string& body = "") {
@@ -39,7 +40,7 @@
   Limits limits;
   Counters counters;
   std::size_t links = 0;
-  std::shared_ptr<Peer> peer;
+  std::shared_ptr<UpstreamNode> peer;
   std::vector<Result> results;
   std::string contents;
 };
--- a/tests/routing/peer_test.cpp
+++ b/tests/routing/upstream_node_test.cpp
@@ -1,5 +1,5 @@
 // The actor of a node against a stand-in that refuses, resets, falls silent, answers late or by half.
-#include "routing/peer.hpp"
+#include "routing/upstream_node.hpp"
 
 #include "helpers.hpp"
 
@@ -20,7 +20,7 @@
     limits.links = 10, limits.links_per_node = 1, limits.streams_per_link = 5;
     limits.connect = 5, limits.begin_within = 5, limits.link_idle = 30, limits.link_doubt = 0.001,
     limits.link_stall = 15;
-    peer = std::make_shared<Peer>(scheduler, limits, counters, links, NodeId{"c1"}, address, *this);
+    peer = std::make_shared<UpstreamNode>(scheduler, limits, counters, links, NodeId{"c1"}, address, *this);
     peer->start();
   }
   std::shared_ptr<protocol::ForwardedRequest> attempt(const std::string& request, int number = 0,
@@ -51,7 +51,7 @@
   Limits limits;
   Counters counters;
   std::size_t links = 0;
-  std::shared_ptr<Peer> peer;
+  std::shared_ptr<UpstreamNode> peer;
   std::string trace;
   Seconds oldest = 0;  // what the module answers when it is asked for the oldest copy that will do
   int ends = 0;
