--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -11,8 +11,8 @@
 #include "distribution/subscription.hpp"
 #include "flow/exporter.hpp"
 #include "program/operator.hpp"
+#include "routing/client_listener.hpp"
 #include "routing/director_actor.hpp"
-#include "routing/front.hpp"
 #include "transport/scheduler.hpp"
 #include "transport/signals.hpp"
 
@@ -172,7 +172,7 @@
   std::unique_ptr<flow::Exporter> flows_;  // null: flows are not exported
   routing::DirectorActor module_;
   distribution::Subscription changes_;
-  routing::Front front_;
+  routing::ClientListener front_;
 };
 
 }  // namespace
--- a/src/routing/front.cpp
+++ b/src/routing/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "routing/front.hpp"
+#include "routing/client_listener.hpp"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -89,8 +89,9 @@
 
 }  // namespace
 
-Front::Front(Scheduler& scheduler, const Limits& limits, Counters& counters, const transport::Address& at,
-             const Names& names, DirectorActor& module, flow::Exporter* flows)
+ClientListener::ClientListener(Scheduler& scheduler, const Limits& limits, Counters& counters,
+                               const transport::Address& at, const Names& names, DirectorActor& module,
+                               flow::Exporter* flows)
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
@@ -99,13 +100,13 @@
       module_(module),
       flows_(flows) {}
 
-Front::~Front() = default;
+ClientListener::~ClientListener() = default;
 
-void Front::start() { scheduler_.spawn(live(*this)); }
+void ClientListener::start() { scheduler_.spawn(live(*this)); }
 
 // Past the limit one more connection is held, unread, until there is room for it; the others wait in the
 // backlog.
-Task<> Front::live(Front& self) {
+Task<> ClientListener::live(ClientListener& self) {
   for (;;) {
     transport::Listener::Accepted accepted;
     try {
@@ -136,7 +137,7 @@
 // Guards against accepts that fail: most do so for a moment, and the pause before the next one is short; one
 // that goes on failing must not keep the loop busy. Only a lack of descriptors is mended by closing a client,
 // and then only where it outlasts the first pause: at every other failure at most one goes.
-Seconds Front::pause_after(transport::Listener::End failure) {
+Seconds ClientListener::pause_after(transport::Listener::End failure) {
   ++counters_.accept_paused;
   ++accept_failures_;
   const bool lacks_descriptors = failure == transport::Listener::End::kDescriptorLimit;
@@ -146,9 +147,9 @@
 }
 
 // Where there is no memory for it, the connection is closed unread.
-void Front::admit(transport::Socket socket) {
+void ClientListener::admit(transport::Socket socket) {
   try {
-    const auto client = std::make_shared<Client>(*this, std::move(socket));
+    const auto client = std::make_shared<ClientConnection>(*this, std::move(socket));
     clients_.push_back(client);
     ++counters_.clients_accepted;
     client->start();
@@ -162,7 +163,7 @@
 // has shown, and among the same by how long ago. It hurts a client that asks in that very moment, and has to
 // ask again; one of whose request something was read is answered 503 first. True: there is room now; where
 // there is none, it may be soon.
-bool Front::make_room() {
+bool ClientListener::make_room() {
   for (std::size_t refused = 0; refused < kRefusedTogether; ++refused) {
     const auto client = next_to_go();
     if (!client) return false;
@@ -171,9 +172,9 @@
   return false;
 }
 
-std::shared_ptr<Client> Front::next_to_go() const {
-  using Standing = Client::Standing;
-  std::shared_ptr<Client> first;
+std::shared_ptr<ClientConnection> ClientListener::next_to_go() const {
+  using Standing = ClientConnection::Standing;
+  std::shared_ptr<ClientConnection> first;
   Standing lowest = Standing::kStays;
   const Seconds now = Scheduler::now();
   for (const auto& client : clients_) {
@@ -187,54 +188,56 @@
   return first;
 }
 
-void Front::close() {
+void ClientListener::close() {
   listener_.close();
   const auto clients = clients_;
   for (const auto& client : clients) client->close_unless_busy();
 }
 
-void Front::report(const std::exception_ptr& failure) noexcept {
+void ClientListener::report(const std::exception_ptr& failure) noexcept {
   try {
     if (scheduler_.on_failure) scheduler_.on_failure(failure);
   } catch (...) {  // nobody is left to be told
   }
 }
 
-void Front::ended(Client& client) {
+void ClientListener::ended(ClientConnection& client) {
   ++counters_.clients_closed;
   clients_.remove_if([&](const auto& held) { return held.get() == &client; });
 }
 
-Client::Standing Client::standing(Seconds now) const {
+ClientConnection::Standing ClientConnection::standing(Seconds now) const {
   if (busy_) return Standing::kStays;
   if (closing_) return Standing::kLingering;
   // The first request of a client that means well is on its way when it connects, as the next may be now.
-  if (now - moved_at_ < front_.limits_.first_request) return Standing::kStays;
+  if (now - moved_at_ < listener_.limits_.first_request) return Standing::kStays;
   if (!shown_) return parser_.begun() ? Standing::kShownPart : Standing::kShownNothing;
   return parser_.begun() || in_.size() > 0 ? Standing::kStays : Standing::kIdle;
 }
 
-bool Client::may_go() const { return socket_.unacknowledged() == 0 && !has_request_unread(); }
+bool ClientConnection::may_go() const { return socket_.unacknowledged() == 0 && !has_request_unread(); }
 
-bool Client::has_request_unread() const { return !closing_ && !parser_.begun() && has_unread(socket_); }
+bool ClientConnection::has_request_unread() const {
+  return !closing_ && !parser_.begun() && has_unread(socket_);
+}
 
-Client::Client(Front& front, transport::Socket socket)
-    : front_(front),
+ClientConnection::ClientConnection(ClientListener& listener, transport::Socket socket)
+    : listener_(listener),
       socket_(std::move(socket)),
-      in_(front.limits_.buffer_kept),
-      parser_(HttpParser::Message::kRequest, {front.limits_.head_bytes, front.limits_.request_body}),
-      mailbox_(front.scheduler_),
-      resumed_(front.scheduler_),
+      in_(listener.limits_.buffer_kept),
+      parser_(HttpParser::Message::kRequest, {listener.limits_.head_bytes, listener.limits_.request_body}),
+      mailbox_(listener.scheduler_),
+      resumed_(listener.scheduler_),
       moved_at_(Scheduler::now()) {
-  if (!front.flows_) return;
-  depot_ = front.flows_->depot_of(socket_.descriptor());
-  auto tap = front.flows_->client(socket_.descriptor());
+  if (!listener.flows_) return;
+  depot_ = listener.flows_->depot_of(socket_.descriptor());
+  auto tap = listener.flows_->client(socket_.descriptor());
   tap_ = tap.get();
   if (tap_) tap_->writing_for({});
   socket_.observe(std::move(tap));
 }
 
-void Client::start() {
+void ClientConnection::start() {
   setsockopt(socket_.descriptor(), SOL_SOCKET, SO_RCVBUF, &kUnreadRoom, sizeof kUnreadRoom);
   if (has_closed(socket_)) return leave();  // before anybody could be told of it
   // Guards against attempts for a client that has gone: where it sent more than is read ahead, its end stands
@@ -244,26 +247,26 @@
     if (const auto client = weak.lock()) client->leave();
   });
   try {
-    front_.scheduler_.spawn(live(shared_from_this()));
-    front_.scheduler_.spawn(read(shared_from_this()));
+    listener_.scheduler_.spawn(live(shared_from_this()));
+    listener_.scheduler_.spawn(read(shared_from_this()));
   } catch (...) {  // no memory: it goes unread
     leave();
     throw;
   }
 }
 
-Task<> Client::live(std::shared_ptr<Client> self) { co_await self->mailbox_.serve(); }
+Task<> ClientConnection::live(std::shared_ptr<ClientConnection> self) { co_await self->mailbox_.serve(); }
 
 // --- reading ---
 
-Task<> Client::read(std::shared_ptr<Client> self) {
+Task<> ClientConnection::read(std::shared_ptr<ClientConnection> self) {
   for (bool failed = true; failed && !self->ended_;) {
     failed = false;
     try {
       co_await self->read_on();
     } catch (...) {
       failed = true;
-      self->front_.report(std::current_exception());
+      self->listener_.report(std::current_exception());
     }
     if (!failed || self->ended_) break;
     if (self->busy_)
@@ -278,8 +281,8 @@
   self->leave();
 }
 
-Task<> Client::read_on() {
-  const Limits& limits = front_.limits_;
+Task<> ClientConnection::read_on() {
+  const Limits& limits = listener_.limits_;
   while (!ended_) {
     if (in_.size() >= limits.read_ahead && busy_) {  // reading pauses until the answer is out
       co_await resumed_.wait();
@@ -313,17 +316,17 @@
   }
 }
 
-void Client::advance() {
+void ClientConnection::advance() {
   try {
     read_requests();
   } catch (...) {  // no memory for the request
-    front_.report(std::current_exception());
+    listener_.report(std::current_exception());
     answer_at_once(kRejectedAnswer);
   }
 }
 
 // Reads on in what has come in. Stops at a whole request, until that is answered.
-void Client::read_requests() {
+void ClientConnection::read_requests() {
   if (closing_ && !busy_) in_.consume(in_.size());  // nothing that follows counts
   while (!busy_ && !closing_ && !ended_ && in_.size() > 0) {
     std::size_t used = 0;
@@ -353,16 +356,16 @@
   }
 }
 
-void Client::start_line(std::string_view method, std::string_view target) {
+void ClientConnection::start_line(std::string_view method, std::string_view target) {
   http_request_ = HttpRequest();
   http_request_.get = method == "GET";
   http_request_.put = method == "PUT";
   http_request_.target = target;
 }
 
-void Client::header(std::string_view name, std::string_view value) {
+void ClientConnection::header(std::string_view name, std::string_view value) {
   HttpRequest& r = http_request_;
-  const Limits& limits = front_.limits_;
+  const Limits& limits = listener_.limits_;
   if (same_name(name, "x-correlation-id")) {
     r.bad = r.bad || !r.id.empty();
     r.has_id = is_id(value);
@@ -384,31 +387,31 @@
   }
 }
 
-void Client::body(std::string_view piece) { http_request_.body += piece; }
+void ClientConnection::body(std::string_view piece) { http_request_.body += piece; }
 
 // --- one request ---
 
-void Client::serve() {
+void ClientConnection::serve() {
   const std::string_view target = http_request_.target;
   if (target == "/_health") {
-    ++front_.counters_.health_asked;
+    ++listener_.counters_.health_asked;
     shown_ = true;
     return answer(http_request_.get ? 200 : 405, "", "ok\n");
   }
   if (!target.starts_with("/invoke/")) {
-    ++front_.counters_.not_found;
+    ++listener_.counters_.not_found;
     return answer(404, "", "");
   }
   if (!http_request_.get && !http_request_.put) return answer(405, "Allow: GET, PUT\r\n", "");
   if (!serve_request()) {
-    ++front_.counters_.clients_bad;
+    ++listener_.counters_.clients_bad;
     keep_ = false;
     answer(400, "", "");
   }
 }
 
 // /invoke/GRADE/OBJECT or /invoke/GRADE/OBJECT/block-PART
-bool Client::serve_request() {
+bool ClientConnection::serve_request() {
   std::string_view target = http_request_.target;
   target.remove_prefix(std::string_view("/invoke/").size());
   const auto slash = target.find('/');
@@ -426,20 +429,20 @@
     if (!read_number(piece, part.value) || part.value < 0) return false;
   }
   ObjectId object;
-  const auto& grades = front_.names_.grades;
+  const auto& grades = listener_.names_.grades;
   const auto known = std::find(grades.begin(), grades.end(), grade);
   if (known == grades.end() || !protocol::read_object(name, object)) return false;
   if (!http_request_.has_id || !http_request_.has_stop || http_request_.bad) return false;
   // What a node would answer with an error: a read that brings bytes, a write that does not write.
   const auto place = static_cast<std::size_t>(known - grades.begin());
-  const auto& writes = front_.names_.writes;
+  const auto& writes = listener_.names_.writes;
   if (http_request_.get && !http_request_.body.empty()) return false;
   if (place < writes.size() && writes[place] != http_request_.put) return false;
   shown_ = true;
 
   // Guards against clients that ask and do not read: their answers must not fill the memory. Nothing has run.
-  if (front_.waiting_answers_ > front_.limits_.waiting_answers) {
-    front_.module_.turned_back();
+  if (listener_.waiting_answers_ > listener_.limits_.waiting_answers) {
+    listener_.module_.turned_back();
     answer(503, "", "", ipfix::Outcome::kBounced);
     return true;
   }
@@ -455,19 +458,19 @@
   forwarded_request->cached = std::move(http_request_.cached);
   forwarded_request->body = std::move(http_request_.body);
   if (tap_) {
-    grade_ = front_.flows_->grade(forwarded_request->lane);
+    grade_ = listener_.flows_->grade(forwarded_request->lane);
     forwarded_request->grade_number = grade_.value;
     forwarded_request->depot_number = depot_.value;
   }
-  const Limits& limits = front_.limits_;
+  const Limits& limits = listener_.limits_;
   // A request read after a pause may have waited for all of it, and its client's time began with the sending.
   const Seconds hard_stop = Scheduler::now() + std::max(0.0, http_request_.wait / 1000 - limits.stop_margin -
-                                                                 front_.scheduler_.late());
+                                                                 listener_.scheduler_.late());
   request_ = {std::move(http_request_.id)};
   forwarded_request_ = forwarded_request;
-  front_.module_.request_arrived(request_, {static_cast<int>(place)}, object, part, {http_request_.family},
-                                 hard_stop, http_request_.size_kb, http_request_.resent, http_request_.put,
-                                 std::move(forwarded_request), weak_from_this());
+  listener_.module_.request_arrived(request_, {static_cast<int>(place)}, object, part, {http_request_.family},
+                                    hard_stop, http_request_.size_kb, http_request_.resent, http_request_.put,
+                                    std::move(forwarded_request), weak_from_this());
   owed_ = true;  // the module has it; its answer comes by the mailbox, later
   return true;
 }
@@ -475,7 +478,7 @@
 // --- answers ---
 
 template <class Work>
-void Client::post_answer(const RequestId& request, std::string_view without_memory, Work work) {
+void ClientConnection::post_answer(const RequestId& request, std::string_view without_memory, Work work) {
   try {
     mailbox_.post([this, request, without_memory, work = std::move(work)]() mutable {
       try {
@@ -489,12 +492,12 @@
   }
 }
 
-void Client::answer_without_memory(const RequestId& request, std::string_view text) {
-  front_.report(std::current_exception());
+void ClientConnection::answer_without_memory(const RequestId& request, std::string_view text) {
+  listener_.report(std::current_exception());
   if (owed_ && request == request_) answer_at_once(text);
 }
 
-void Client::completed(const RequestId& request, Content content) {
+void ClientConnection::completed(const RequestId& request, Content content) {
   post_answer(request, kFailedAnswer, [this, content = std::move(content)]() mutable {
     std::string more;
     if (!content.tag.empty()) more = "ETag: \"" + content.tag + "\"\r\n";
@@ -503,7 +506,7 @@
   });
 }
 
-void Client::bounced(const RequestId& request, Seconds come_back_in) {
+void ClientConnection::bounced(const RequestId& request, Seconds come_back_in) {
   post_answer(request, kRejectedAnswer, [this, come_back_in] {
     std::string more;
     const auto pause = static_cast<long long>(std::ceil(come_back_in * 1000));
@@ -512,20 +515,20 @@
   });
 }
 
-void Client::forfeited(const RequestId& request) {
+void ClientConnection::forfeited(const RequestId& request) {
   post_answer(request, kFailedAnswer, [this] { answer(500, "", "", ipfix::Outcome::kForfeited); });
 }
 
 // A request that can't be read: a plain answer, and nothing that follows on the connection counts.
-void Client::refuse(int status) {
-  ++front_.counters_.clients_bad;
+void ClientConnection::refuse(int status) {
+  ++listener_.counters_.clients_bad;
   busy_ = true;
   keep_ = false;
   in_.consume(in_.size());
   answer(status, "", "");
 }
 
-void Client::label(ipfix::Outcome outcome, Note note) {
+void ClientConnection::label(ipfix::Outcome outcome, Note note) {
   if (!tap_) return;
   ipfix::Label label;
   if (outcome != ipfix::Outcome::kNone)
@@ -537,30 +540,31 @@
   if (outcome != ipfix::Outcome::kNone) tap_->request_ended(label);
 }
 
-void Client::answer(int status, std::string more, std::string bytes, ipfix::Outcome outcome, Note note) {
+void ClientConnection::answer(int status, std::string more, std::string bytes, ipfix::Outcome outcome,
+                              Note note) {
   try {
     begin_answer(status, more, std::move(bytes), outcome, note);
   } catch (...) {  // no memory for it
-    front_.report(std::current_exception());
+    listener_.report(std::current_exception());
     const bool may_have_run = outcome == ipfix::Outcome::kCompleted || outcome == ipfix::Outcome::kForfeited;
     answer_at_once(may_have_run ? kFailedAnswer : kRejectedAnswer);
   }
 }
 
-void Client::begin_answer(int status, std::string_view more, std::string bytes, ipfix::Outcome outcome,
-                          Note note) {
+void ClientConnection::begin_answer(int status, std::string_view more, std::string bytes,
+                                    ipfix::Outcome outcome, Note note) {
   owed_ = false;
   forwarded_request_.reset();
   label(outcome, note);
   if (!keep_) closing_ = true;
-  front_.counters_.bytes_answered += bytes.size();
+  listener_.counters_.bytes_answered += bytes.size();
   std::string head = protocol::http_answer(status, more, bytes.size(), keep_);
-  front_.scheduler_.spawn(write(shared_from_this(), std::move(head), std::move(bytes)));
+  listener_.scheduler_.spawn(write(shared_from_this(), std::move(head), std::move(bytes)));
 }
 
 // Ends the request in work and the connection with a final answer, without a need for memory. What is read
 // ahead of further requests goes with it: the answer says that the connection closes.
-void Client::answer_at_once(std::string_view text) {
+void ClientConnection::answer_at_once(std::string_view text) {
   if (ended_) return;
   if (forwarded_request_) forwarded_request_->client_gone = true;  // the module may have it, or not
   forwarded_request_.reset();
@@ -574,48 +578,49 @@
 // Nothing more is sent; what was is waited for until it has reached the client. What the client still sends
 // is read and thrown away: a close over unread bytes would reset the connection, and destroy an answer on its
 // way.
-void Client::finish() {
+void ClientConnection::finish() {
   busy_ = false;
   keep_ = false;
   closing_ = true;
   moved_at_ = Scheduler::now();
-  linger_until_ = moved_at_ + front_.limits_.linger_most;
+  linger_until_ = moved_at_ + listener_.limits_.linger_most;
   socket_.finish();
   try {
     watch_linger();
   } catch (...) {
-    front_.report(std::current_exception());
+    listener_.report(std::current_exception());
     leave();
   }
 }
 
-void Client::watch_linger() {
-  const Seconds due = std::min(linger_until_, std::max(moved_at_, Scheduler::now()) + front_.limits_.linger);
-  front_.scheduler_.at(due, [weak = weak_from_this()] {
+void ClientConnection::watch_linger() {
+  const Seconds due =
+      std::min(linger_until_, std::max(moved_at_, Scheduler::now()) + listener_.limits_.linger);
+  listener_.scheduler_.at(due, [weak = weak_from_this()] {
     if (const auto client = weak.lock()) client->end_linger();
   });
 }
 
-void Client::end_linger() {
+void ClientConnection::end_linger() {
   if (ended_) return;
   const Seconds now = Scheduler::now();
-  const bool silent = now >= moved_at_ + front_.limits_.linger;
+  const bool silent = now >= moved_at_ + listener_.limits_.linger;
   if (now >= linger_until_ || (silent && socket_.unacknowledged() == 0)) return leave();
   watch_linger();
 }
 
-Task<> Client::write(std::shared_ptr<Client> self, std::string head, std::string bytes) {
-  const Seconds until = Scheduler::now() + self->front_.limits_.answer_taken;
+Task<> ClientConnection::write(std::shared_ptr<ClientConnection> self, std::string head, std::string bytes) {
+  const Seconds until = Scheduler::now() + self->listener_.limits_.answer_taken;
   const std::size_t size = bytes.size();
   try {
     head += bytes;  // one write: a client that reads the head finds the body with it
   } catch (...) {
-    self->front_.report(std::current_exception());
+    self->listener_.report(std::current_exception());
     self->answer_at_once(kFailedAnswer);
     co_return;
   }
   bytes = std::string();
-  self->front_.waiting_answers_ += size;
+  self->listener_.waiting_answers_ += size;
   Io io = self->socket_.write_now(head);
   if (io.end == IoEnd::kTimedOut) {
     try {
@@ -624,11 +629,11 @@
       io.end = IoEnd::kBroken;
     }
   }
-  self->front_.waiting_answers_ -= size;
+  self->listener_.waiting_answers_ -= size;
   if (self->ended_) co_return;
   if (!io.ok()) {
     // Guards against a client that does not read: what it was sent is not whole, and it can tell.
-    if (io.end == IoEnd::kTimedOut) ++self->front_.counters_.clients_slow;
+    if (io.end == IoEnd::kTimedOut) ++self->listener_.counters_.clients_slow;
     self->tap_ = nullptr;
     self->socket_.abort();
     self->leave();
@@ -641,7 +646,7 @@
   self->resumed_.notify();
 }
 
-bool Client::make_way() {
+bool ClientConnection::make_way() {
   if (!closing_ && parser_.begun()) answer_at_once(kRejectedAnswer);
   if (ended_) return true;
   if (closing_ && socket_.unacknowledged() > 0) return false;
@@ -649,7 +654,7 @@
   return true;
 }
 
-void Client::close_unless_busy() {
+void ClientConnection::close_unless_busy() {
   if (busy_ || closing_ || has_request_unread()) return;
   if (parser_.begun())
     answer_at_once(kRejectedAnswer);
@@ -657,7 +662,7 @@
     finish();
 }
 
-void Client::leave() {
+void ClientConnection::leave() {
   if (std::exchange(ended_, true)) return;
   const auto self = shared_from_this();
   if (forwarded_request_)
@@ -665,16 +670,16 @@
   const bool owed = std::exchange(owed_, false);
   try {
     if (owed) label(ipfix::Outcome::kLeft, Note::kNone);
-    if (owed) front_.module_.request_left(request_);
+    if (owed) listener_.module_.request_left(request_);
   } catch (...) {  // no memory: the request ends by its deadline, unheard
-    front_.report(std::current_exception());
+    listener_.report(std::current_exception());
   }
   tap_ = nullptr;  // goes with the socket
   discard_unread(socket_);
   socket_.close();
   resumed_.notify();
   mailbox_.close();
-  front_.ended(*this);
+  listener_.ended(*this);
 }
 
 }  // namespace hareramp::routing
--- a/src/routing/front.hpp
+++ b/src/routing/client_listener.hpp
@@ -21,15 +21,15 @@
 
 namespace hareramp::routing {
 
-class Client;
+class ClientConnection;
 
 // Takes connections as long as there is room for them, and knows those that are open.
-class Front {
+class ClientListener {
  public:
-  Front(transport::Scheduler& scheduler, const Limits& limits, Counters& counters,
-        const transport::Address& at, const Names& names, DirectorActor& module,
-        flow::Exporter* flows = nullptr);
-  ~Front();
+  ClientListener(transport::Scheduler& scheduler, const Limits& limits, Counters& counters,
+                 const transport::Address& at, const Names& names, DirectorActor& module,
+                 flow::Exporter* flows = nullptr);
+  ~ClientListener();
 
   void start();
   transport::Address address() const { return listener_.address(); }
@@ -39,16 +39,16 @@
   std::size_t clients() const { return clients_.size(); }
 
  private:
-  friend class Client;
-  static transport::Task<> live(Front& self);
+  friend class ClientConnection;
+  static transport::Task<> live(ClientListener& self);
   // After an accept that failed: how long to wait before the next one.
   Seconds pause_after(transport::Listener::End failure);
   void admit(transport::Socket socket);
   bool make_room();
-  std::shared_ptr<Client> next_to_go() const;
+  std::shared_ptr<ClientConnection> next_to_go() const;
   // Tells of a failure that was dealt with.
   void report(const std::exception_ptr& failure) noexcept;
-  void ended(Client& client);
+  void ended(ClientConnection& client);
 
   transport::Scheduler& scheduler_;
   const Limits& limits_;
@@ -57,18 +57,18 @@
   const Names names_;
   DirectorActor& module_;
   flow::Exporter* const flows_;  // null: flows are not exported
-  std::list<std::shared_ptr<Client>> clients_;
+  std::list<std::shared_ptr<ClientConnection>> clients_;
   std::size_t waiting_answers_ = 0;  // bytes
   int accept_failures_ = 0;          // in a row
 };
 
 // One connection. Requests on it are answered in order, one open at a time; what is pipelined behind waits in
 // the buffer, and reading pauses when that is full.
-class Client : public ResponseSink,
-               private protocol::HttpHandler,
-               public std::enable_shared_from_this<Client> {
+class ClientConnection : public ResponseSink,
+                         private protocol::HttpHandler,
+                         public std::enable_shared_from_this<ClientConnection> {
  public:
-  Client(Front& front, transport::Socket socket);
+  ClientConnection(ClientListener& listener, transport::Socket socket);
   void start();
 
   void completed(const RequestId& request, Content content) override;
@@ -121,12 +121,12 @@
   // For flow records: what was read for this request, and what will be written for it, belong to its label.
   void label(ipfix::Outcome outcome, Note note);
   void leave();
-  static transport::Task<> live(std::shared_ptr<Client> self);
-  static transport::Task<> read(std::shared_ptr<Client> self);
+  static transport::Task<> live(std::shared_ptr<ClientConnection> self);
+  static transport::Task<> read(std::shared_ptr<ClientConnection> self);
   transport::Task<> read_on();
-  static transport::Task<> write(std::shared_ptr<Client> self, std::string head, std::string bytes);
+  static transport::Task<> write(std::shared_ptr<ClientConnection> self, std::string head, std::string bytes);
 
-  Front& front_;
+  ClientListener& listener_;
   transport::Socket socket_;
   transport::Buffer in_;
   protocol::HttpParser parser_;
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -13,8 +13,8 @@
 
 #include "helpers.hpp"
 #include "program/config.hpp"
+#include "routing/client_listener.hpp"
 #include "routing/director_actor.hpp"
-#include "routing/front.hpp"
 
 using namespace hareramp;
 using namespace hareramp::routing;
@@ -246,7 +246,7 @@
   Log log{fileno(sink)};
   StandIn cache{scheduler}, parent{scheduler}, origin{scheduler};
   std::optional<DirectorActor> module;
-  std::optional<Front> front;
+  std::optional<ClientListener> front;
 };
 
 // What a client pipelines behind the request in work, so that its end can't be read while that is open.
@@ -542,7 +542,7 @@
   TestDirector director;
   PlainClient client(director.front->address());
   {
-    const FailingAllocations fails(sizeof(Client), sizeof(Client) + 64);
+    const FailingAllocations fails(sizeof(ClientConnection), sizeof(ClientConnection) + 64);
     director.until([&] { return director.failures > 0; });
   }
   director.until([&] { return client.ended() || client.was_reset(); });
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -2,8 +2,8 @@
 #include "distribution/subscription.hpp"
 #include "helpers.hpp"
 #include "program/serve.hpp"
+#include "routing/client_listener.hpp"
 #include "routing/director_actor.hpp"
-#include "routing/front.hpp"
 #include "transport/clock.hpp"
 
 using namespace hareramp;
@@ -90,7 +90,7 @@
   Log log{fileno(sink)};
   StandIn cache{scheduler}, parent{scheduler}, origin{scheduler};
   std::optional<DirectorActor> module;
-  std::optional<Front> front;
+  std::optional<ClientListener> front;
   ~Site() { std::fclose(sink); }
 };
 
--- a/tests/routing/shutdown_test.cpp
+++ b/tests/routing/shutdown_test.cpp
@@ -1,8 +1,8 @@
 // The module's actor at the director's end, on loopback with a silent node.
 #include "helpers.hpp"
 #include "program/config.hpp"
+#include "routing/client_listener.hpp"
 #include "routing/director_actor.hpp"
-#include "routing/front.hpp"
 
 using namespace hareramp;
 using namespace hareramp::routing;
@@ -48,7 +48,7 @@
   Log log{fileno(sink)};
   StandIn origin{scheduler};
   std::optional<DirectorActor> module;
-  std::optional<Front> front;
+  std::optional<ClientListener> front;
 };
 
 const std::string kId1 = "0000000000000001", kId2 = "0000000000000002";
--- a/tests/wall_clock/wall_clock_test.cpp
+++ b/tests/wall_clock/wall_clock_test.cpp
@@ -3,8 +3,8 @@
 
 #include "helpers.hpp"
 #include "program/config.hpp"
+#include "routing/client_listener.hpp"
 #include "routing/director_actor.hpp"
-#include "routing/front.hpp"
 #include "transport/clock.hpp"
 
 using namespace hareramp;
@@ -81,7 +81,7 @@
   Log log{fileno(sink)};
   StandIn cache{scheduler}, origin{scheduler};
   std::optional<DirectorActor> module;
-  std::optional<Front> front;
+  std::optional<ClientListener> front;
 };
 
 // The line of an attempt as a node heard it.
