--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -135,10 +135,10 @@
 // The same id may not be there twice, also not while an answer to an earlier attempt may still come: nothing
 // on the wire would tell the two apart.
 UpstreamNode::ConnectionPointer UpstreamNode::choose_link(const RequestId& request) {
-  const ConnectionPointer least = least_used_link(request, false);
+  ConnectionPointer least = least_used_link(request, false);
   if (least && least->open.empty()) return least;
   if (links_.size() >= limits_.links_per_node || links_held_ >= limits_.links) return least;
-  const auto link = std::make_shared<UpstreamConnection>(*this, limits_);
+  auto link = std::make_shared<UpstreamConnection>(*this, limits_);
   link->self = link;
   links_.push_back(link);
   ++links_held_;
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -1,4 +1,6 @@
 // A client's connection through its ends: the client closes or resets it, or the director has to close it.
+#include "routing/client_connection.hpp"
+
 #include <sys/socket.h>
 #include <sys/syscall.h>
 #include <unistd.h>
