--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -195,15 +195,15 @@
 
 }  // namespace
 
-struct Director::Mind {
+struct Director::State {
   struct Rule {
     const char* name;
-    bool (Mind::*when)(const Request&);
-    void (Mind::*then)(Request&);
+    bool (State::*when)(const Request&);
+    void (State::*then)(Request&);
   };
   static const std::vector<Rule> kRules;
 
-  Mind(Seconds start, Settings given, std::uint64_t seed, Actions& sink)
+  State(Seconds start, Settings given, std::uint64_t seed, Actions& sink)
       : settings(std::move(given)),
         actions(sink),
         chance(static_cast<std::uint_fast32_t>(mix(seed))),
@@ -234,7 +234,7 @@
     actions.wake(now + kSweepEvery, {"sweep"});
   }
 
-  Mind& at(Seconds time) { return now = time, *this; }
+  State& at(Seconds time) { return now = time, *this; }
 
   // --- settings ---
   std::string text(const std::string& name, const std::string& fallback) const {
@@ -842,16 +842,16 @@
     actions.bounce(p.id, may_advise ? draw * most_advice : 0);
   }
 
-  template <Way (Mind::*way)(const Request&)>
+  template <Way (State::*way)(const Request&)>
   bool can(const Request& p) {
     return ready(p) && !is_write(p) && (this->*way)(p);
   }
-  template <Way (Mind::*way)(const Request&)>
+  template <Way (State::*way)(const Request&)>
   void take(Request& p) {
     attempt(p, (this->*way)(p));
   }
   bool has_write_way(const Request& p) { return ready(p) && is_write(p) && write_way(p); }
-  template <Way (Mind::*way)(const Request&)>
+  template <Way (State::*way)(const Request&)>
   void look(Request& p) {
     take<way>(p), ++p.looks, p.under_way = false;
   }
@@ -1129,38 +1129,38 @@
 };
 
 // From the top, until none fires. Each is a condition and an effect, both above.
-const std::vector<Director::Mind::Rule> Director::Mind::kRules = {
-    {"over and all heard: forget it", &Mind::is_quiet, &Mind::forget},
-    {"over with attempts out: call them off", &Mind::has_leftovers, &Mind::call_off},
-    {"the director ends: give it up", &Mind::is_cut_short, &Mind::give_up},
-    {"its time is up: forfeit", &Mind::time_is_up, &Mind::forfeit},
-    {"no further attempt may or can be made: give it up", &Mind::is_spent, &Mind::give_up},
-    {"a write: the shortest way to the origin", &Mind::has_write_way, &Mind::take<&Mind::write_way>},
-    {"look first: home, what it holds", &Mind::can<&Mind::look_way>, &Mind::look<&Mind::look_way>},
-    {"spread: filled from the other", &Mind::can<&Mind::spread_way>, &Mind::take<&Mind::spread_way>},
-    {"ordinary: a kept parent", &Mind::can<&Mind::parent_way>, &Mind::take<&Mind::parent_way>},
-    {"no parent kept: the origin", &Mind::can<&Mind::origin_way>, &Mind::take<&Mind::origin_way>},
-    {"no source: what home holds", &Mind::can<&Mind::held_way>, &Mind::look<&Mind::held_way>},
-    {"no cache: straight", &Mind::can<&Mind::straight_way>, &Mind::take<&Mind::straight_way>},
-    {"nothing fresh to be had: a stale copy", &Mind::can<&Mind::stale_way>, &Mind::take_stale_way},
-    {"late, and nobody else to ask: wait on", &Mind::is_late_alone, &Mind::wait_on},
-    {"nobody to ask: give it up", &Mind::idle, &Mind::give_up},
+const std::vector<Director::State::Rule> Director::State::kRules = {
+    {"over and all heard: forget it", &State::is_quiet, &State::forget},
+    {"over with attempts out: call them off", &State::has_leftovers, &State::call_off},
+    {"the director ends: give it up", &State::is_cut_short, &State::give_up},
+    {"its time is up: forfeit", &State::time_is_up, &State::forfeit},
+    {"no further attempt may or can be made: give it up", &State::is_spent, &State::give_up},
+    {"a write: the shortest way to the origin", &State::has_write_way, &State::take<&State::write_way>},
+    {"look first: home, what it holds", &State::can<&State::look_way>, &State::look<&State::look_way>},
+    {"spread: filled from the other", &State::can<&State::spread_way>, &State::take<&State::spread_way>},
+    {"ordinary: a kept parent", &State::can<&State::parent_way>, &State::take<&State::parent_way>},
+    {"no parent kept: the origin", &State::can<&State::origin_way>, &State::take<&State::origin_way>},
+    {"no source: what home holds", &State::can<&State::held_way>, &State::look<&State::held_way>},
+    {"no cache: straight", &State::can<&State::straight_way>, &State::take<&State::straight_way>},
+    {"nothing fresh to be had: a stale copy", &State::can<&State::stale_way>, &State::take_stale_way},
+    {"late, and nobody else to ask: wait on", &State::is_late_alone, &State::wait_on},
+    {"nobody to ask: give it up", &State::idle, &State::give_up},
 };
 
 // --- inputs ---
 
 Director::Director(Seconds now, Settings settings, std::uint64_t seed, Actions& actions)
-    : mind_(std::make_unique<Mind>(now, std::move(settings), seed, actions)) {}
+    : state_(std::make_unique<State>(now, std::move(settings), seed, actions)) {}
 Director::~Director() = default;
-std::size_t Director::nodes_known() const { return mind_->index.size(); }
+std::size_t Director::nodes_known() const { return state_->index.size(); }
 Seconds Director::oldest_copy(Seconds now, const RequestId& id) {
-  Mind& m = mind_->at(now);
+  State& m = state_->at(now);
   const Request* request = m.held(id);
   return request ? m.oldest_copy(*request) : 0;
 }
 
 void Director::list_starts(Seconds now, ListScope scope) {
-  Mind& m = mind_->at(now);
+  State& m = state_->at(now);
   m.scope = scope;
   if (scope == ListScope::kFailed) m.actions.wake(now + kListAgain, {"list"});
   if (scope == ListScope::kFull || scope == ListScope::kCached)
@@ -1169,7 +1169,7 @@
 
 void Director::list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
                           Readiness readiness, double weight, Seconds launched, Seconds stamped) {
-  Mind& m = mind_->at(now);
+  State& m = state_->at(now);
   const int n = m.index_of(node);
   const bool newly = !m.listed[n] && m.scope == ListScope::kChanges;
   m.zone[n] = zone.value, m.kind[n] = kind.value, m.cell[n] = cell.value, m.weight[n] = weight;
@@ -1185,7 +1185,7 @@
 }
 
 void Director::list_ends(Seconds now) {
-  Mind& m = mind_->at(now);
+  State& m = state_->at(now);
   const bool whole = m.scope == ListScope::kFull || m.scope == ListScope::kCached;
   for (int n = 0; n < m.count(); ++n)
     if (whole && !m.fresh[n]) m.listed[n] = m.running[n] = false;  // rule 3: missing from a full list is gone
@@ -1195,7 +1195,7 @@
 void Director::request_arrived(Seconds now, const RequestId& id, GradeIndex grade, TenantIndex,
                                ObjectId object, PartNumber part, GroupId group, Seconds hard_stop,
                                double size_kb, bool, bool is_write) {
-  Mind& m = mind_->at(now);
+  State& m = state_->at(now);
   m.calm_origin();
   Request p;
   p.id = id, p.grade = std::clamp(grade.value, 0, static_cast<int>(m.grades.size()) - 1);
@@ -1219,7 +1219,7 @@
 }
 
 void Director::request_dropped(Seconds now, const RequestId& id) {
-  Mind& m = mind_->at(now);
+  State& m = state_->at(now);
   if (!m.held(id)) return;
   m.held(id)->over = true;
   m.touched.push_back(id);
@@ -1227,20 +1227,20 @@
 }
 
 void Director::deadlines_end(Seconds now, Seconds at) {
-  Mind& m = mind_->at(now);
+  State& m = state_->at(now);
   m.deadlines_end_at = at;
   for (auto& [id, request] : m.requests) m.cut_deadline(request);
   m.actions.wake(at, {"deadlines-end"});
 }
 
 void Director::attempt_begun(Seconds now, const RequestId& id, AttemptNumber) {
-  if (Request* p = mind_->at(now).held(id)) p->bound = p->may_have_run = true;
+  if (Request* p = state_->at(now).held(id)) p->bound = p->may_have_run = true;
 }
 
 void Director::attempt_ended(Seconds now, const RequestId& id, AttemptNumber number, const NodeId& node,
                              Result result, Note note, Seconds waited, Seconds spent,
                              const LoadReport& report, bool request_over) {
-  Mind& m = mind_->at(now);
+  State& m = state_->at(now);
   m.hear(node, report);
   if (!m.held(id)) return;
   Request& p = *m.held(id);
@@ -1262,19 +1262,19 @@
 }
 
 void Director::probe_ended(Seconds now, const NodeId& node, Result, const LoadReport& report) {
-  mind_->at(now).hear(node, report);
+  state_->at(now).hear(node, report);
 }
 
 // The moment of a purge is kept, not its age: bounds are taken from it when a request is sent.
 void Director::object_purged(Seconds now, ObjectId object, Seconds age) {
-  mind_->at(now).invalidations.object_purged(now, object, age);
+  state_->at(now).invalidations.object_purged(now, object, age);
 }
 void Director::group_purged(Seconds now, GroupId group, Seconds age) {
-  mind_->at(now).invalidations.group_purged(now, group, age);
+  state_->at(now).invalidations.group_purged(now, group, age);
 }
 
 void Director::woken(Seconds now, const TimerToken& token) {
-  Mind& m = mind_->at(now);
+  State& m = state_->at(now);
   const std::string& words = token.value;
   if (words == "sweep") m.sweep();
   if (words == "list") m.actions.follow_list();
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -128,8 +128,8 @@
   std::size_t nodes_known() const;
 
  private:
-  struct Mind;
-  std::unique_ptr<Mind> mind_;
+  struct State;
+  std::unique_ptr<State> state_;
 };
 
 }  // namespace hareramp
