--- a/experiments/capacity/cold_quota.cpp
+++ b/experiments/capacity/cold_quota.cpp
@@ -24,8 +24,8 @@
     sent.push_back({request, node, fill.source});
   }
   void cancel(const RequestId&, AttemptNumber) override {}
-  void bounce(const RequestId&, Seconds) override {}
-  void forfeit(const RequestId&) override {}
+  void reject(const RequestId&, Seconds) override {}
+  void fail(const RequestId&) override {}
   void wake(Seconds, const TimerToken&) override {}
   void probe(const NodeId&) override {}
   void follow_list() override {}
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -161,12 +161,12 @@
     reply_ +=
         "retract" + who_ + "\tRequestId=" + request.value + "\tShot=" + std::to_string(number.value) + '\n';
   }
-  void bounce(const RequestId& request, Seconds come_back_in) override {
+  void reject(const RequestId& request, Seconds retry_after) override {
     reply_ += "reject" + who_ + "\tRequestId=" + request.value;
-    if (come_back_in > 0) reply_ += "\tStayAwayS=" + text_of(come_back_in);
+    if (retry_after > 0) reply_ += "\tStayAwayS=" + text_of(retry_after);
     reply_ += '\n';
   }
-  void forfeit(const RequestId& request) override {
+  void fail(const RequestId& request) override {
     reply_ += "abort" + who_ + "\tRequestId=" + request.value + '\n';
   }
   void wake(Seconds at, const TimerToken& token) override {
--- a/src/lab/world/judge.cpp
+++ b/src/lab/world/judge.cpp
@@ -178,7 +178,7 @@
     if (node.value.empty()) {
       const bool harmless = request.retriable || !request.may_have_run;
       requests_.erase(id);
-      return harmless ? actions_.bounce(id, 1) : actions_.forfeit(id);
+      return harmless ? actions_.reject(id, 1) : actions_.fail(id);
     }
     FillTerms fill;
     fill.source = source;
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -195,8 +195,8 @@
   void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill,
                Seconds time_out) override;
   void cancel(const RequestId& request, AttemptNumber number) override;
-  void bounce(const RequestId& request, Seconds come_back_in) override;
-  void forfeit(const RequestId& request) override;
+  void reject(const RequestId& request, Seconds retry_after) override;
+  void fail(const RequestId& request) override;
   void wake(Seconds at, const TimerToken& token) override;
   void probe(const NodeId&) override {}
   void follow_list() override {}
@@ -264,7 +264,7 @@
       end_later(*held, Result::kCancelled, 0);
     }
   }
-  void bounce(const RequestId& id, Seconds come_back_in) {
+  void reject(const RequestId& id, Seconds retry_after) {
     const std::uint64_t number = request_number(id);
     Request& request = requests_.at(number);
     if (!request.owed) return;
@@ -272,13 +272,13 @@
     auditor_.answered(now_, number, Auditor::Answer::kBounced);
     mix(number * 4 + 1);
     if (request.retries < plan_.load.retries) {
-      const Seconds pause = come_back_in > 0 ? come_back_in : 0.1;
+      const Seconds pause = retry_after > 0 ? retry_after : 0.1;
       retries_[next_retry_] = {request, number};
       at(now_ + pause * std::uniform_real_distribution<double>(1, 1.5)(chance_), What::kRetry, 0,
          next_retry_++);
     }
   }
-  void forfeit(const RequestId& id) {
+  void fail(const RequestId& id) {
     const std::uint64_t number = request_number(id);
     Request& request = requests_.at(number);
     if (!request.owed) return;
@@ -1061,8 +1061,8 @@
   world_.attempt(*this, request, node, fill, time_out);
 }
 void Host::cancel(const RequestId& request, AttemptNumber number) { world_.cancel(*this, request, number); }
-void Host::bounce(const RequestId& request, Seconds come_back_in) { world_.bounce(request, come_back_in); }
-void Host::forfeit(const RequestId& request) { world_.forfeit(request); }
+void Host::reject(const RequestId& request, Seconds retry_after) { world_.reject(request, retry_after); }
+void Host::fail(const RequestId& request) { world_.fail(request); }
 void Host::wake(Seconds at, const TimerToken& token) { world_.wake(*this, at, token); }
 
 }  // namespace
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -820,7 +820,7 @@
   // No answer is late by the client's own deadline then, so it is rejected like one that nobody can take.
   bool is_cut_short(const Request& p) { return p.cut_short && time_is_up(p); }
   bool time_is_up(const Request& p) { return owed(p) && now >= p.hard_stop - period; }
-  void forfeit(Request& p) { p.over = true, actions.forfeit(p.id); }
+  void fail(Request& p) { p.over = true, actions.fail(p.id); }
 
   // Rule 2: a binding request that may have run gets no further attempt, and no promise; nor does a
   // fingerprinted one whose mark may be forgotten before its repeat, or its client's, has ended.
@@ -836,10 +836,10 @@
     const bool harmless = grade.effect == Effect::kRetriable || (!p.may_have_run && p.out() == 0) ||
                           (grade.effect == Effect::kFingerprinted && grade.group == "all" &&
                            window_left(p) > most_advice + expected(p));
-    if (!harmless) return forfeit(p);
+    if (!harmless) return fail(p);
     p.over = true;
     const double draw = std::uniform_real_distribution<double>(0.5, 1)(chance);
-    actions.bounce(p.id, may_advise ? draw * most_advice : 0);
+    actions.reject(p.id, may_advise ? draw * most_advice : 0);
   }
 
   template <Way (State::*way)(const Request&)>
@@ -1133,7 +1133,7 @@
     {"over and all heard: forget it", &State::is_quiet, &State::forget},
     {"over with attempts out: call them off", &State::has_leftovers, &State::call_off},
     {"the director ends: give it up", &State::is_cut_short, &State::give_up},
-    {"its time is up: forfeit", &State::time_is_up, &State::forfeit},
+    {"its time is up: forfeit", &State::time_is_up, &State::fail},
     {"no further attempt may or can be made: give it up", &State::is_spent, &State::give_up},
     {"a write: the shortest way to the origin", &State::has_write_way, &State::take<&State::write_way>},
     {"look first: home, what it holds", &State::can<&State::look_way>, &State::look<&State::look_way>},
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -80,8 +80,8 @@
   virtual void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill,
                        Seconds time_out) = 0;
   virtual void cancel(const RequestId& request, AttemptNumber number) = 0;
-  virtual void bounce(const RequestId& request, Seconds come_back_in) = 0;
-  virtual void forfeit(const RequestId& request) = 0;
+  virtual void reject(const RequestId& request, Seconds retry_after) = 0;
+  virtual void fail(const RequestId& request) = 0;
   virtual void wake(Seconds at, const TimerToken& token) = 0;
   virtual void probe(const NodeId& node) = 0;
   virtual void follow_list() = 0;
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -246,10 +246,10 @@
   });
 }
 
-void ClientConnection::bounced(const RequestId& request, Seconds come_back_in) {
-  post_answer(request, kRejectedAnswer, [this, come_back_in] {
+void ClientConnection::bounced(const RequestId& request, Seconds retry_after) {
+  post_answer(request, kRejectedAnswer, [this, retry_after] {
     std::string more;
-    const auto pause = static_cast<long long>(std::ceil(come_back_in * 1000));
+    const auto pause = static_cast<long long>(std::ceil(retry_after * 1000));
     if (pause > 0) more = "X-Pushback-Ms: " + std::to_string(pause) + "\r\n";
     answer(503, more, "", ipfix::Outcome::kBounced);
   });
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -28,7 +28,7 @@
   void start();
 
   void completed(const RequestId& request, Content content) override;
-  void bounced(const RequestId& request, Seconds come_back_in) override;
+  void bounced(const RequestId& request, Seconds retry_after) override;
   void forfeited(const RequestId& request) override;
 
   // Who goes first when there is no room: the lower, the sooner; kStays for none of these.
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -267,7 +267,7 @@
     Request* request = owed(id);
     if (!request) return;
     ++counters_.overdue;
-    forfeit(id);
+    fail(id);
     director_->request_dropped(clock_.now(), id);
     forget_if_quiet(id);
   });
@@ -361,16 +361,16 @@
   if (peer != upstream_nodes_.end()) peer->second->cancel(id, number);
 }
 
-void DirectorActor::bounce(const RequestId& id, Seconds come_back_in) {
+void DirectorActor::reject(const RequestId& id, Seconds retry_after) {
   Request* request = owed(id);
   if (!request) return;
   answered(*request);
   ++counters_.bounced;
-  if (const auto response_sink = request->response_sink.lock()) response_sink->bounced(id, come_back_in);
+  if (const auto response_sink = request->response_sink.lock()) response_sink->bounced(id, retry_after);
   mailbox_.post([this, id] { forget_if_quiet(id); });
 }
 
-void DirectorActor::forfeit(const RequestId& id) {
+void DirectorActor::fail(const RequestId& id) {
   Request* request = owed(id);
   if (!request) return;
   answered(*request);
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -28,7 +28,7 @@
  public:
   virtual ~ResponseSink() = default;
   virtual void completed(const RequestId& request, Content content) = 0;
-  virtual void bounced(const RequestId& request, Seconds come_back_in) = 0;
+  virtual void bounced(const RequestId& request, Seconds retry_after) = 0;
   virtual void forfeited(const RequestId& request) = 0;
 };
 
@@ -107,8 +107,8 @@
   void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill,
                Seconds time_out) override;
   void cancel(const RequestId& request, AttemptNumber number) override;
-  void bounce(const RequestId& request, Seconds come_back_in) override;
-  void forfeit(const RequestId& request) override;
+  void reject(const RequestId& request, Seconds retry_after) override;
+  void fail(const RequestId& request) override;
   void wake(Seconds at, const TimerToken& token) override;
   void probe(const NodeId& node) override;
   void follow_list() override;
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -134,10 +134,10 @@
   void cancel(const RequestId& request, AttemptNumber number) override {
     note(request.value + ": cancel attempt " + std::to_string(number.value));
   }
-  void bounce(const RequestId& request, Seconds come_back_in) override {
-    note(request.value + ": bounce" + (come_back_in > 0 ? ", come back" : ""));
+  void reject(const RequestId& request, Seconds retry_after) override {
+    note(request.value + ": bounce" + (retry_after > 0 ? ", come back" : ""));
   }
-  void forfeit(const RequestId& request) override { note(request.value + ": forfeit"); }
+  void fail(const RequestId& request) override { note(request.value + ": forfeit"); }
   void wake(Seconds at, const TimerToken& token) override { timers.emplace(at, token); }
   void probe(const NodeId& node) override { note("probe " + node.value); }
   void follow_list() override { note("follow the list"); }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -62,8 +62,8 @@
   Host(Fleet& fleet, int place, int life);
   void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill, Seconds) override;
   void cancel(const RequestId&, AttemptNumber) override {}  // the node answers all the same
-  void bounce(const RequestId& request, Seconds) override { open.erase(request.value); }
-  void forfeit(const RequestId& request) override { open.erase(request.value); }
+  void reject(const RequestId& request, Seconds) override { open.erase(request.value); }
+  void fail(const RequestId& request) override { open.erase(request.value); }
   void wake(Seconds at, const TimerToken& token) override;
   void probe(const NodeId&) override {}
   void follow_list() override {}
