--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -246,7 +246,7 @@
   });
 }
 
-void ClientConnection::bounced(const RequestId& request, Seconds retry_after) {
+void ClientConnection::rejected(const RequestId& request, Seconds retry_after) {
   post_answer(request, kRejectedAnswer, [this, retry_after] {
     std::string more;
     const auto pause = static_cast<long long>(std::ceil(retry_after * 1000));
@@ -255,7 +255,7 @@
   });
 }
 
-void ClientConnection::forfeited(const RequestId& request) {
+void ClientConnection::failed(const RequestId& request) {
   post_answer(request, kFailedAnswer, [this] { answer(500, "", "", ipfix::Outcome::kForfeited); });
 }
 
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -28,8 +28,8 @@
   void start();
 
   void completed(const RequestId& request, Content content) override;
-  void bounced(const RequestId& request, Seconds retry_after) override;
-  void forfeited(const RequestId& request) override;
+  void rejected(const RequestId& request, Seconds retry_after) override;
+  void failed(const RequestId& request) override;
 
   // Who goes first when there is no room: the lower, the sooner; kStays for none of these.
   enum class Standing { kLingering, kShownNothing, kShownPart, kIdle, kStays };
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -201,7 +201,7 @@
           id)) {  // an id that is not new can't be told from the first: no second answer to that
     ++counters_.forfeited;
     counters_.open = --open_;
-    if (const auto second = response_sink.lock()) second->forfeited(id);
+    if (const auto second = response_sink.lock()) second->failed(id);
     return;
   }
   Request request;
@@ -366,7 +366,7 @@
   if (!request) return;
   answered(*request);
   ++counters_.bounced;
-  if (const auto response_sink = request->response_sink.lock()) response_sink->bounced(id, retry_after);
+  if (const auto response_sink = request->response_sink.lock()) response_sink->rejected(id, retry_after);
   mailbox_.post([this, id] { forget_if_quiet(id); });
 }
 
@@ -375,7 +375,7 @@
   if (!request) return;
   answered(*request);
   ++counters_.forfeited;
-  if (const auto response_sink = request->response_sink.lock()) response_sink->forfeited(id);
+  if (const auto response_sink = request->response_sink.lock()) response_sink->failed(id);
   mailbox_.post([this, id] { forget_if_quiet(id); });
 }
 
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -28,8 +28,8 @@
  public:
   virtual ~ResponseSink() = default;
   virtual void completed(const RequestId& request, Content content) = 0;
-  virtual void bounced(const RequestId& request, Seconds retry_after) = 0;
-  virtual void forfeited(const RequestId& request) = 0;
+  virtual void rejected(const RequestId& request, Seconds retry_after) = 0;
+  virtual void failed(const RequestId& request) = 0;
 };
 
 // The names that stand for indexes in the settings.
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -46,8 +46,8 @@
 class Client : public ResponseSink {
  public:
   void completed(const RequestId&, Content) override { ++served; }
-  void bounced(const RequestId&, Seconds) override { ++rejected; }
-  void forfeited(const RequestId&) override { ++failed; }
+  void rejected(const RequestId&, Seconds) override { ++rejected; }
+  void failed(const RequestId&) override { ++failed; }
   int served = 0, rejected = 0, failed = 0;
 };
 
