--- a/src/lab/world/auditor.cpp
+++ b/src/lab/world/auditor.cpp
@@ -8,9 +8,9 @@
 constexpr Seconds kLate = 0.05;  // past the hard stop an answer may still be on its way
 }
 
-void Auditor::taken(std::uint64_t request, Seconds hard_stop) {
+void Auditor::taken(std::uint64_t request, Seconds deadline) {
   ++findings_.taken;
-  requests_[request] = {hard_stop, 0};
+  requests_[request] = {deadline, 0};
 }
 
 void Auditor::answered(Seconds now, std::uint64_t request, Answer how) {
@@ -19,7 +19,7 @@
     ++findings_.answered_twice;
     return;
   }
-  if (now > found->second.hard_stop + kLate) ++findings_.unanswered;
+  if (now > found->second.deadline + kLate) ++findings_.unanswered;
   switch (how) {
     case Answer::kCompleted:
       ++findings_.completed;
@@ -76,7 +76,7 @@
 
 void Auditor::ends(Seconds now) {
   for (const auto& [id, request] : requests_)
-    if (request.answers == 0 && now > request.hard_stop + kLate) ++findings_.unanswered;
+    if (request.answers == 0 && now > request.deadline + kLate) ++findings_.unanswered;
 }
 
 }  // namespace hareramp::lab
--- a/src/lab/world/auditor.hpp
+++ b/src/lab/world/auditor.hpp
@@ -39,7 +39,7 @@
  public:
   explicit Auditor(const WorldPlan& world) : world_(world) {}
 
-  void taken(std::uint64_t request, Seconds hard_stop);
+  void taken(std::uint64_t request, Seconds deadline);
   enum class Answer { kCompleted, kBounced, kForfeited, kLeft };
   void answered(Seconds now, std::uint64_t request, Answer how);
   // A request ran at the origin, with the mark of its fingerprint.
@@ -61,7 +61,7 @@
 
  private:
   struct Request {
-    Seconds hard_stop = 0;
+    Seconds deadline = 0;
     std::uint32_t answers = 0;
   };
   const WorldPlan& world_;
--- a/src/lab/world/judge.cpp
+++ b/src/lab/world/judge.cpp
@@ -23,9 +23,9 @@
   }
   void list_ends(Seconds now) override { director_.list_ends(now); }
   void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, ObjectId object,
-                       PartNumber part, GroupId group, Seconds hard_stop, double size_kb, bool resent,
+                       PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
                        bool is_write) override {
-    director_.request_arrived(now, request, grade, {0}, object, part, group, hard_stop, size_kb, resent,
+    director_.request_arrived(now, request, grade, {0}, object, part, group, deadline, size_kb, resent,
                               is_write);
   }
   void request_dropped(Seconds now, const RequestId& request) override {
@@ -68,10 +68,10 @@
   void list_ends(Seconds) override {}
 
   void request_arrived(Seconds now, const RequestId& id, GradeIndex grade, ObjectId object, PartNumber part,
-                       GroupId group, Seconds hard_stop, double, bool, bool is_write) override {
+                       GroupId group, Seconds deadline, double, bool, bool is_write) override {
     Request request;
     request.object = object.value, request.unit = object.value * 31 + static_cast<std::uint64_t>(part.value);
-    request.group = group.value, request.hard_stop = hard_stop, request.write = is_write;
+    request.group = group.value, request.deadline = deadline, request.write = is_write;
     request.retriable = item("Effect", grade.value) == "retryable";
     request.fresh = std::atof(list_item("FamilyInfo.GoodForS", grade.value).c_str());
     requests_[id] = request;
@@ -109,7 +109,7 @@
   struct Request {
     std::uint64_t object = 0, unit = 0;
     std::int64_t group = 0;
-    Seconds hard_stop = 0, fresh = 0;
+    Seconds deadline = 0, fresh = 0;
     bool write = false, retriable = false, may_have_run = false;
     std::vector<NodeId> tried;
   };
@@ -168,7 +168,7 @@
     const bool may = request.retriable || !request.may_have_run;
     const NodeId origin = by_hash(2, 0, {});
     NodeId node, source;
-    if (may && request.tried.size() < 3 && now < request.hard_stop) {
+    if (may && request.tried.size() < 3 && now < request.deadline) {
       node = request.write ? origin : choose_cache(request);
       source = request.write                                      ? node
                : kind_ == Kind::kTextbook || kind_ == Kind::kHash ? by_hash(1, request.object, {})
@@ -194,7 +194,7 @@
     if (const auto found = purged_groups_.find(request.group); found != purged_groups_.end())
       bound(found->second);
     ++out_[node];
-    actions_.attempt(id, node, fill, request.retriable ? (request.hard_stop - now) / 2 : 0);
+    actions_.attempt(id, node, fill, request.retriable ? (request.deadline - now) / 2 : 0);
   }
 
   Kind kind_;
--- a/src/lab/world/judge.hpp
+++ b/src/lab/world/judge.hpp
@@ -17,7 +17,7 @@
                           Readiness readiness, double weight, Seconds launched) = 0;
   virtual void list_ends(Seconds now) = 0;
   virtual void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, ObjectId object,
-                               PartNumber part, GroupId group, Seconds hard_stop, double size_kb, bool resent,
+                               PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
                                bool is_write) = 0;
   virtual void request_dropped(Seconds now, const RequestId& request) = 0;
   virtual void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -35,7 +35,7 @@
   kEnd,         // the end of an attempt reaches its director
   kWake,        // a director's timer
   kTimeOut,     // an attempt's time
-  kHardStop,    // a request's time
+  kDeadline,    // a request's time
   kTold,        // a change of the list reaches a director
   kPurgeTold,   // a purge does
   kFault,       // a fault begins or ends
@@ -180,7 +180,7 @@
   std::uint64_t object = 0;
   int part = 0, group = 0, retries = 0;
   double size_kb = 0;
-  Seconds arrived = 0, hard_stop = 0;
+  Seconds arrived = 0, deadline = 0;
   bool owed = true, counts = true;
   std::vector<std::uint64_t> attempts;
 };
@@ -447,17 +447,17 @@
   void take(Request request) {
     const std::uint64_t number = next_request_++;
     const GradePlan& of = plan_.load.grades[request.grade];
-    request.arrived = now_, request.hard_stop = now_ + of.stop, request.owed = true;
+    request.arrived = now_, request.deadline = now_ + of.stop, request.owed = true;
     request.attempts.clear();
     request.counts = now_ >= kStart + plan_.settles;
-    auditor_.taken(number, request.hard_stop);
+    auditor_.taken(number, request.deadline);
     ++open_;
     Host& host = *hosts_[request.director];
     const Request& held = requests_.emplace(number, std::move(request));
-    at(held.hard_stop, What::kHardStop, held.director, number);
+    at(held.deadline, What::kDeadline, held.director, number);
     if (held.counts) could_[held.grade] += 1;
     host.judge->request_arrived(now_, request_id(number), {static_cast<int>(held.grade)}, {held.object},
-                                {held.part}, {held.group}, held.hard_stop - 0.03, held.size_kb,
+                                {held.part}, {held.group}, held.deadline - 0.03, held.size_kb,
                                 held.retries > 0, of.write);
   }
 
@@ -486,7 +486,7 @@
     mix(attempt.node * 8 + 3);
     at(now_ + way_to(nodes_[attempt.node]), What::kCome, attempt.node, attempt.id);
     const Seconds until =
-        std::min(time_out > 0 ? now_ + time_out : request.hard_stop, request.hard_stop - 0.03);
+        std::min(time_out > 0 ? now_ + time_out : request.deadline, request.deadline - 0.03);
     at(std::max(until, now_), What::kTimeOut, attempt.node, attempt.id);
     attempts_.emplace(attempt.id, std::move(attempt));
   }
@@ -759,7 +759,7 @@
     ++sample_.ended;
     sample_.utility += worth;
   }
-  void hard_stop(std::uint64_t number) {
+  void deadline(std::uint64_t number) {
     Request* const found = requests_.find(number);
     if (!found) return;
     Request& request = *found;
@@ -968,8 +968,8 @@
       case What::kTimeOut:
         if (Attempt* attempt = held(event.b)) end_later(*attempt, Result::kTimedOut, 0);
         return;
-      case What::kHardStop:
-        return hard_stop(event.b);
+      case What::kDeadline:
+        return deadline(event.b);
       case What::kTold: {
         Host& host = *hosts_[event.a];
         host.judge->list_starts(now_, ListScope::kChanges);
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -149,7 +149,7 @@
   int grade = 0;
   std::uint64_t object = 0, unit = 0;
   std::int64_t group = 0;
-  Seconds arrived = 0, hard_stop = 0, resume_at = kLongAgo, first_ran = 0;
+  Seconds arrived = 0, deadline = 0, resume_at = kLongAgo, first_ran = 0;
   double size_kb = 0, lot = 0;
   bool write = false, hot = false, known = false, no_origin = false, in_vain = false, under_way = false;
   bool over = false, bound = false, may_have_run = false, overdue = false, stale_will_do = false;
@@ -531,7 +531,7 @@
   }
   // A further attempt only if the time left exceeds what it is expected to take. The first is always made:
   // after a slow spell nothing else would tell that things go faster again.
-  bool time_for_another(const Request& p) { return p.offs.empty() || p.hard_stop - now > expected(p); }
+  bool time_for_another(const Request& p) { return p.offs.empty() || p.deadline - now > expected(p); }
   bool is_crowded(const Request& p, Seconds spent) {
     return spent - send_time(p) > kTight * (contract_time(p) - send_time(p));
   }
@@ -785,8 +785,8 @@
   }
 
   void cut_deadline(Request& p) {
-    if (p.hard_stop <= deadlines_end_at) return;
-    p.hard_stop = deadlines_end_at;
+    if (p.deadline <= deadlines_end_at) return;
+    p.deadline = deadlines_end_at;
     p.cut_short = true;
   }
   void end_deadlines() {
@@ -819,7 +819,7 @@
 
   // No answer is late by the client's own deadline then, so it is rejected like one that nobody can take.
   bool is_cut_short(const Request& p) { return p.cut_short && time_is_up(p); }
-  bool time_is_up(const Request& p) { return owed(p) && now >= p.hard_stop - period; }
+  bool time_is_up(const Request& p) { return owed(p) && now >= p.deadline - period; }
   void fail(Request& p) { p.over = true, actions.fail(p.id); }
 
   // Rule 2: a binding request that may have run gets no further attempt, and no promise; nor does a
@@ -920,7 +920,7 @@
       }
       case Result::kAbsent:
         if (!asked && note == Note::kJoined && !can_join && p.looks < kLooks &&
-            p.hard_stop - now > kLookAgain + expected(p))
+            p.deadline - now > kLookAgain + expected(p))
           p.under_way = true, wait(p, kLookAgain);
         if (!asked) break;
         if (is_cache_kind(s)) answered(s), held_share[s].add(now, 0, 1);
@@ -939,7 +939,7 @@
         } else if (result == Result::kTurnedAway && is_origin(c)) {
           // Once may be the connection's fault; the next goes out on another.
           if (p.offs.size() > 1) measure_origin(kOriginCut, off.sent);
-          if (p.hard_stop - now > 2 * kPause)
+          if (p.deadline - now > 2 * kPause)
             wait(p, kPause * std::uniform_real_distribution<double>(0.5, 1.5)(chance));
         } else if (result == Result::kTurnedAway) {
           p.bad_nodes.push_back(c);
@@ -967,7 +967,7 @@
   void retry_after_local_failure(Request& p) {
     const Seconds pause = kLocalPause * (1 << p.local_failures);
     ++p.local_failures;
-    if (attempts_left(p) && p.hard_stop - now > pause + expected(p)) wait(p, pause);
+    if (attempts_left(p) && p.deadline - now > pause + expected(p)) wait(p, pause);
   }
   void hear(const NodeId& id, const LoadReport& report) {
     const auto node = index.find(id.value);
@@ -1065,7 +1065,7 @@
     touched.push_back(id);
   }
   void watch(const Request& p, std::size_t place, Seconds time) {
-    if (now + time < p.hard_stop)
+    if (now + time < p.deadline)
       actions.wake(now + time, {"late:" + std::to_string(place) + ":" + p.id.value});
   }
 
@@ -1193,14 +1193,14 @@
 }
 
 void Director::request_arrived(Seconds now, const RequestId& id, GradeIndex grade, TenantIndex,
-                               ObjectId object, PartNumber part, GroupId group, Seconds hard_stop,
+                               ObjectId object, PartNumber part, GroupId group, Seconds deadline,
                                double size_kb, bool, bool is_write) {
   State& m = state_->at(now);
   m.calm_origin();
   Request p;
   p.id = id, p.grade = std::clamp(grade.value, 0, static_cast<int>(m.grades.size()) - 1);
   p.object = object.value, p.unit = mix(object.value) ^ mix(~static_cast<std::uint64_t>(part.value));
-  p.group = group.value, p.arrived = now, p.hard_stop = hard_stop, p.size_kb = size_kb, p.write = is_write;
+  p.group = group.value, p.arrived = now, p.deadline = deadline, p.size_kb = size_kb, p.write = is_write;
   m.cut_deadline(p);
   if (m.flow > 0 && size_kb > 0) m.grades[p.grade].send.add(now, size_kb / m.flow, 1);
   if (!m.is_write(p)) {
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -105,7 +105,7 @@
   void list_ends(Seconds now);
 
   void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, TenantIndex tenant,
-                       ObjectId object, PartNumber part, GroupId group, Seconds hard_stop, double size_kb,
+                       ObjectId object, PartNumber part, GroupId group, Seconds deadline, double size_kb,
                        bool resent, bool is_write);
   void request_dropped(Seconds now, const RequestId& request);
   // The director is to end: no deadline, of what is open or still comes, lies after that moment. A request
--- a/src/routing/client_request.cpp
+++ b/src/routing/client_request.cpp
@@ -158,12 +158,12 @@
   }
   const Limits& limits = listener_.limits_;
   // A request read after a pause may have waited for all of it, and its client's time began with the sending.
-  const Seconds hard_stop = Scheduler::now() + std::max(0.0, http_request_.wait / 1000 - limits.stop_margin -
-                                                                 listener_.scheduler_.late());
+  const Seconds deadline = Scheduler::now() + std::max(0.0, http_request_.wait / 1000 - limits.stop_margin -
+                                                                listener_.scheduler_.late());
   request_ = {std::move(http_request_.id)};
   forwarded_request_ = forwarded_request;
   listener_.module_.request_arrived(request_, {static_cast<int>(place)}, object, target->part,
-                                    {http_request_.family}, hard_stop, http_request_.size_kb,
+                                    {http_request_.family}, deadline, http_request_.size_kb,
                                     http_request_.resent, http_request_.put, std::move(forwarded_request),
                                     weak_from_this());
   owed_ = true;  // the module has it; its answer comes by the mailbox, later
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -180,7 +180,7 @@
 }
 
 void DirectorActor::request_arrived(const RequestId& request, GradeIndex grade, ObjectId object,
-                                    PartNumber part, GroupId group, Seconds hard_stop, double size_kb,
+                                    PartNumber part, GroupId group, Seconds deadline, double size_kb,
                                     bool resent, bool is_write,
                                     std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                                     std::weak_ptr<ResponseSink> response_sink) {
@@ -188,13 +188,13 @@
   counters_.open = ++open_;
   mailbox_.post([=, this, forwarded_request = std::move(forwarded_request),
                  response_sink = std::move(response_sink)]() mutable {
-    arrived(request, grade, object, part, group, hard_stop, size_kb, resent, is_write,
+    arrived(request, grade, object, part, group, deadline, size_kb, resent, is_write,
             std::move(forwarded_request), std::move(response_sink));
   });
 }
 
 void DirectorActor::arrived(const RequestId& id, GradeIndex grade, ObjectId object, PartNumber part,
-                            GroupId group, Seconds hard_stop, double size_kb, bool resent, bool is_write,
+                            GroupId group, Seconds deadline, double size_kb, bool resent, bool is_write,
                             std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                             std::weak_ptr<ResponseSink> response_sink) {
   if (requests_.contains(
@@ -207,16 +207,16 @@
   Request request;
   request.forwarded_request = std::move(forwarded_request);
   request.response_sink = std::move(response_sink);
-  request.hard_stop = std::min(hard_stop, deadlines_end_);
+  request.deadline = std::min(deadline, deadlines_end_);
   watch_overdue(id, requests_.insert_or_assign(id, std::move(request)).first->second);
-  director_->request_arrived(clock_.now(), id, grade, {0}, object, part, group,
-                             clock_.of_scheduler(hard_stop), size_kb, resent, is_write);
+  director_->request_arrived(clock_.now(), id, grade, {0}, object, part, group, clock_.of_scheduler(deadline),
+                             size_kb, resent, is_write);
 }
 
 // Guards against a request that nothing would ever end; the module's own time-outs come first.
 void DirectorActor::watch_overdue(const RequestId& id, Request& request) {
   request.last_resort =
-      scheduler_.at(request.hard_stop + limits_.overdue, [this, id] { end_by_last_resort(id); });
+      scheduler_.at(request.deadline + limits_.overdue, [this, id] { end_by_last_resort(id); });
 }
 
 // By the mailbox of changes, which is never held.
@@ -224,9 +224,9 @@
   deadlines_end_ = at;
   told_.post([this, at] {
     for (auto& [id, request] : requests_) {
-      if (!request.owed || request.hard_stop <= at) continue;
+      if (!request.owed || request.deadline <= at) continue;
       scheduler_.cancel(request.last_resort);
-      request.hard_stop = at;
+      request.deadline = at;
       watch_overdue(id, request);
     }
     director_->deadlines_end(clock_.now(), clock_.of_scheduler(at));
@@ -347,9 +347,9 @@
   const auto peer = upstream_nodes_.find(node);
   // Its time may have gone by while the process stood still, or its client has left: nobody waits for it any
   // more.
-  if (peer == upstream_nodes_.end() || now >= request->hard_stop || request->forwarded_request->client_gone)
+  if (peer == upstream_nodes_.end() || now >= request->deadline || request->forwarded_request->client_gone)
     return ended(id, number, node, Result::kNotSent, Note::kNone, 0, {}, {});
-  const Seconds until = time_out > 0 ? std::min(now + time_out, request->hard_stop) : request->hard_stop;
+  const Seconds until = time_out > 0 ? std::min(now + time_out, request->deadline) : request->deadline;
   peer->second->attempt(id, number, request->forwarded_request, fill, until);
 }
 
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -60,7 +60,7 @@
   void changes_arrived(std::vector<distribution::NumberedChange> changes, bool more_waits,
                        std::function<void(bool taken)> done) override;
   void request_arrived(const RequestId& request, GradeIndex grade, ObjectId object, PartNumber part,
-                       GroupId group, Seconds hard_stop, double size_kb, bool resent, bool is_write,
+                       GroupId group, Seconds deadline, double size_kb, bool resent, bool is_write,
                        std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                        std::weak_ptr<ResponseSink> response_sink);
   void request_left(const RequestId& request);
@@ -81,7 +81,7 @@
   struct Request {
     std::shared_ptr<const protocol::ForwardedRequest> forwarded_request;
     std::weak_ptr<ResponseSink> response_sink;
-    Seconds hard_stop = 0;  // the scheduler's time
+    Seconds deadline = 0;  // the scheduler's time
     transport::Scheduler::TimerKey last_resort;
     bool owed = true;
     std::vector<Out> outs;
@@ -89,7 +89,7 @@
   class Changes;
 
   void arrived(const RequestId& request, GradeIndex grade, ObjectId object, PartNumber part, GroupId group,
-               Seconds hard_stop, double size_kb, bool resent, bool is_write,
+               Seconds deadline, double size_kb, bool resent, bool is_write,
                std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                std::weak_ptr<ResponseSink> response_sink);
   void attempt_ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
