--- a/experiments/capacity/cold_quota.cpp
+++ b/experiments/capacity/cold_quota.cpp
@@ -48,10 +48,12 @@
   CountingActions actions;
   Seconds now = 1000;
   Director director(now, config.settings, 1, actions);
-  director.list_starts(now, ListScope::kFull);
-  director.list_entry(now, {"cache"}, {1}, {0}, {0}, Readiness::kRunning, 1000 * kNodeTransfers, now - 1000);
-  director.list_entry(now, {"origin"}, {0}, {2}, {0}, Readiness::kRunning, 1000 * kNodeTransfers, now - 1000);
-  director.list_entry(now, kParent, {0}, {1}, {0}, Readiness::kRunning, kNodeTransfers, now);
+  director.list_starts(now, ListCompleteness::kFull);
+  director.list_entry(now, {"cache"}, {1}, {0}, {0}, EndpointState::kRunning, 1000 * kNodeTransfers,
+                      now - 1000);
+  director.list_entry(now, {"origin"}, {0}, {2}, {0}, EndpointState::kRunning, 1000 * kNodeTransfers,
+                      now - 1000);
+  director.list_entry(now, kParent, {0}, {1}, {0}, EndpointState::kRunning, kNodeTransfers, now);
   director.list_ends(now);
   ColdQuota quota;
   for (int number = 0; number < kOffered; ++number) {
@@ -67,7 +69,7 @@
       if (is_fill && one.source.value == kParent.value) ++quota.attempts_each;
       director.attempt_ended(now, request, {attempt}, one.node,
                              is_fill ? Result::kCompleted : Result::kAbsent,
-                             is_fill ? Note::kFilled : Note::kNone, 0, 0.001, {}, is_fill);
+                             is_fill ? AnswerDetail::kFilled : AnswerDetail::kNone, 0, 0.001, {}, is_fill);
       if (is_fill) break;
     }
   }
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -127,19 +127,20 @@
 
 const std::map<std::string, Result> kResults = {{"success", Result::kCompleted},
                                                 {"failure", Result::kError},
-                                                {"overloaded", Result::kTurnedAway},
+                                                {"overloaded", Result::kRejected},
                                                 {"timed_out", Result::kTimedOut},
                                                 {"unreachable", Result::kUnreachable},
                                                 {"broken", Result::kBroken},
                                                 {"withdrawn", Result::kCancelled},
                                                 {"void", Result::kNotSent},
                                                 {"absent", Result::kAbsent}};
-const std::map<std::string, Readiness> kReadiness = {
-    {"Running", Readiness::kRunning}, {"Stopping", Readiness::kDraining}, {"Deleted", Readiness::kGone}};
-const std::map<std::string, ListScope> kScopes = {{"delta", ListScope::kChanges},
-                                                  {"full", ListScope::kFull},
-                                                  {"cached", ListScope::kCached},
-                                                  {"failed", ListScope::kFailed}};
+const std::map<std::string, EndpointState> kEndpointStates = {{"Running", EndpointState::kRunning},
+                                                              {"Stopping", EndpointState::kDraining},
+                                                              {"Deleted", EndpointState::kGone}};
+const std::map<std::string, ListCompleteness> kScopes = {{"delta", ListCompleteness::kChanges},
+                                                         {"full", ListCompleteness::kFull},
+                                                         {"cached", ListCompleteness::kCached},
+                                                         {"failed", ListCompleteness::kFailed}};
 
 // Writes what the module wants done, as lines for one instance.
 class WireActions : public Actions {
@@ -279,7 +280,7 @@
       const int note = line.number<int>("Remark", 0);
       director.attempt_ended(now_, {line.text("RequestId")}, {line.number<int>("Shot")}, {line.text("Node")},
                              line.word("Status", kResults),
-                             note < 0 || note > 10 ? Note::kNone : static_cast<Note>(note),
+                             note < 0 || note > 10 ? AnswerDetail::kNone : static_cast<AnswerDetail>(note),
                              line.number<double>("WaitedS", 0), line.number<double>("SpentS", 0),
                              line.report("Gauge"), line.flag("Closed"));
     } else if (tag == "dropped") {
@@ -317,7 +318,7 @@
     for (const Line& item : items) {
       director.list_entry(now_, {item.text("Node")}, {item.number<int>("Az", 0)},
                           {item.number<int>("Sku", 0)}, {item.number<int>("Stripe", 0)},
-                          item.word("Readiness", kReadiness), item.number<double>("Share", 1),
+                          item.word("Readiness", kEndpointStates), item.number<double>("Share", 1),
                           item.number<double>("LaunchedS", 0));
     }
     director.list_ends(now_);
--- a/src/lab/world/judge.cpp
+++ b/src/lab/world/judge.cpp
@@ -16,10 +16,10 @@
  public:
   Design(Seconds now, const Settings& settings, std::uint64_t seed, Actions& actions)
       : director_(now, settings, seed, actions) {}
-  void list_starts(Seconds now, ListScope scope) override { director_.list_starts(now, scope); }
+  void list_starts(Seconds now, ListCompleteness scope) override { director_.list_starts(now, scope); }
   void list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
-                  Readiness readiness, double weight, Seconds launched) override {
-    director_.list_entry(now, node, zone, kind, cell, readiness, weight, launched);
+                  EndpointState endpoint_state, double weight, Seconds launched) override {
+    director_.list_entry(now, node, zone, kind, cell, endpoint_state, weight, launched);
   }
   void list_ends(Seconds now) override { director_.list_ends(now); }
   void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, ObjectId object,
@@ -32,7 +32,8 @@
     director_.request_dropped(now, request);
   }
   void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
-                     Result result, Note note, Seconds waited, Seconds spent, bool request_over) override {
+                     Result result, AnswerDetail note, Seconds waited, Seconds spent,
+                     bool request_over) override {
     director_.attempt_ended(now, request, number, node, result, note, waited, spent, {}, request_over);
   }
   void object_purged(Seconds now, ObjectId object, Seconds age) override {
@@ -57,13 +58,13 @@
     here_ = std::atoi(settings_.at("Locality").c_str());
   }
 
-  void list_starts(Seconds, ListScope) override {}
-  void list_entry(Seconds, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex, Readiness readiness,
-                  double, Seconds) override {
+  void list_starts(Seconds, ListCompleteness) override {}
+  void list_entry(Seconds, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex,
+                  EndpointState endpoint_state, double, Seconds) override {
     auto& entry = nodes_[node];
     entry.zone = zone.value, entry.kind = kind.value;
-    entry.usable = readiness == Readiness::kRunning;
-    if (readiness == Readiness::kGone) nodes_.erase(node);
+    entry.usable = endpoint_state == EndpointState::kRunning;
+    if (endpoint_state == EndpointState::kGone) nodes_.erase(node);
   }
   void list_ends(Seconds) override {}
 
@@ -78,8 +79,8 @@
     try_once(now, id);
   }
   void request_dropped(Seconds, const RequestId& id) override { requests_.erase(id); }
-  void attempt_ended(Seconds now, const RequestId& id, AttemptNumber, const NodeId& node, Result result, Note,
-                     Seconds, Seconds, bool request_over) override {
+  void attempt_ended(Seconds now, const RequestId& id, AttemptNumber, const NodeId& node, Result result,
+                     AnswerDetail, Seconds, Seconds, bool request_over) override {
     --out_[node];
     const auto found = requests_.find(id);
     if (found == requests_.end()) return;
@@ -87,7 +88,7 @@
       requests_.erase(found);
       return;
     }
-    const bool never_ran = result == Result::kTurnedAway || result == Result::kUnreachable ||
+    const bool never_ran = result == Result::kRejected || result == Result::kUnreachable ||
                            result == Result::kNotSent || result == Result::kAbsent;
     found->second.may_have_run = found->second.may_have_run || !never_ran;
     found->second.tried.push_back(node);
--- a/src/lab/world/judge.hpp
+++ b/src/lab/world/judge.hpp
@@ -12,16 +12,17 @@
 class Judge {
  public:
   virtual ~Judge() = default;
-  virtual void list_starts(Seconds now, ListScope scope) = 0;
+  virtual void list_starts(Seconds now, ListCompleteness scope) = 0;
   virtual void list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
-                          Readiness readiness, double weight, Seconds launched) = 0;
+                          EndpointState endpoint_state, double weight, Seconds launched) = 0;
   virtual void list_ends(Seconds now) = 0;
   virtual void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, ObjectId object,
                                PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
                                bool is_write) = 0;
   virtual void request_dropped(Seconds now, const RequestId& request) = 0;
   virtual void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
-                             Result result, Note note, Seconds waited, Seconds spent, bool request_over) = 0;
+                             Result result, AnswerDetail note, Seconds waited, Seconds spent,
+                             bool request_over) = 0;
   virtual void object_purged(Seconds now, ObjectId object, Seconds age) = 0;
   virtual void group_purged(Seconds now, GroupId group, Seconds age) = 0;
   virtual void woken(Seconds now, const TimerToken& token) = 0;
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -171,7 +171,7 @@
   std::uint64_t unit = 0, object = 0;
   Seconds sent = 0, oldest = 0, copy_at = 0, waited_from = 0, told_drain = 0, given_up = 0;
   std::uint32_t node_life = 0, source_life = 0;
-  Note note = Note::kNone;
+  AnswerDetail note = AnswerDetail::kNone;
   Result result = Result::kCompleted;
 };
 
@@ -386,7 +386,7 @@
     host.judge = make_judge(policy_, now_, settings(host.zone), hashed(seed_, host.number_), host);
     if (!host.judge) throw std::runtime_error("no policy '" + policy_ + "'");
     host.drain_told.assign(nodes_.size(), 0);
-    host.judge->list_starts(now_, ListScope::kFull);
+    host.judge->list_starts(now_, ListCompleteness::kFull);
     for (std::uint32_t n = 0; n < nodes_.size(); ++n) list_entry(host, n);
     host.judge->list_ends(now_);
   }
@@ -401,12 +401,12 @@
   }
   void list_entry(Host& host, std::uint32_t n) {
     const Node& node = nodes_[n];
-    Readiness readiness = node.draining ? Readiness::kDraining : Readiness::kRunning;
+    EndpointState endpoint_state = node.draining ? EndpointState::kDraining : EndpointState::kRunning;
     if (node.draining && host.drain_told[n] == 0) host.drain_told[n] = now_;
     if (!node.draining) host.drain_told[n] = 0;
-    if (mutant_ == Mutant::kIgnoresDrain) readiness = Readiness::kRunning;
+    if (mutant_ == Mutant::kIgnoresDrain) endpoint_state = EndpointState::kRunning;
     host.judge->list_entry(now_, node.id, {node.zone}, {node.kind}, {node.kind == 0 ? node.zone : 0},
-                           readiness, node.slots, node.launched);
+                           endpoint_state, node.slots, node.launched);
   }
   void build_load() {
     double sum = 0;
@@ -524,30 +524,30 @@
     auditor_.came(attempt->sent, attempt->told_drain);
     if (!heat(attempt->node, request.size_kb / plan_.world.flow_kb_per_s)) return;
     if (node.refuses || node.held >= node.waiting * node.slots)
-      return end_later(*attempt, Result::kTurnedAway, back);
+      return end_later(*attempt, Result::kRejected, back);
     attempt->counted = true;
     ++node.held;
     if (grade(request).write) return write(*attempt, request);
     const Memory::Copy* copy = node.memory.find(attempt->unit);
     if (node.kind == 2) {
-      attempt->copy_at = now_, attempt->note = Note::kHit;
+      attempt->copy_at = now_, attempt->note = AnswerDetail::kHit;
       ++origin_fetches_;
       return transfer(attempt->node, *attempt);
     }
     if (copy && (attempt->oldest <= 0 || copy->given_out >= now_ - attempt->oldest)) {
-      attempt->copy_at = copy->given_out, attempt->note = Note::kHit;
+      attempt->copy_at = copy->given_out, attempt->note = AnswerDetail::kHit;
       return transfer(attempt->node, *attempt);
     }
     const auto filling = node.fills.find(attempt->unit);
     if (attempt->source == attempt->node) {
-      if (filling != node.fills.end()) attempt->note = Note::kJoined;
+      if (filling != node.fills.end()) attempt->note = AnswerDetail::kJoined;
       let_go(*attempt);
       return end_later(*attempt, Result::kAbsent, back + kServe);
     }
     attempt->waited_from = now_;
     if (filling != node.fills.end() && attempt->join && attempt->oldest <= 0) {
       filling->second.push_back(id);
-      attempt->note = Note::kJoined;
+      attempt->note = AnswerDetail::kJoined;
       return;
     }
     if (filling == node.fills.end()) node.fills[attempt->unit];
@@ -581,12 +581,12 @@
     const Seconds extra = nodes_[attempt.node].kind == 2 ? 0 : 2 * plan_.world.way_origin;
     if (!nodes_[origin_].up || nodes_[origin_].refuses) {
       let_go(attempt);
-      attempt.note = Note::kSourceRefused;
-      return end_later(attempt, nodes_[attempt.node].kind == 2 ? Result::kTurnedAway : Result::kError,
+      attempt.note = AnswerDetail::kSourceRejected;
+      return end_later(attempt, nodes_[attempt.node].kind == 2 ? Result::kRejected : Result::kError,
                        extra + way_to(nodes_[attempt.node]));
     }
     auditor_.ran(attempt.request, grade(request).effect);
-    attempt.note = Note::kHit, attempt.copy_at = now_;
+    attempt.note = AnswerDetail::kHit, attempt.copy_at = now_;
     let_go(attempt);
     end_later(attempt, Result::kCompleted,
               extra + kServe * nodes_[origin_].slow + way_to(nodes_[attempt.node]));
@@ -622,7 +622,7 @@
   }
 
   // --- fills ---
-  void fill_failed(Attempt& attempt, Result result, Note note) {
+  void fill_failed(Attempt& attempt, Result result, AnswerDetail note) {
     Node& node = nodes_[attempt.node];
     std::vector<std::uint64_t> waiting;
     if (const auto fill = node.fills.find(attempt.unit); attempt.filling && fill != node.fills.end()) {
@@ -643,29 +643,29 @@
     if (!attempt || !there(*attempt)) return;
     Node& source = nodes_[attempt->source];
     const Request& request = requests_.at(attempt->request);
-    if (!source.up) return fill_failed(*attempt, Result::kError, Note::kSourceLost);
+    if (!source.up) return fill_failed(*attempt, Result::kError, AnswerDetail::kSourceLost);
     if (source.silent) return;  // the attempt's time-out ends it
     if (!heat(attempt->source, request.size_kb / plan_.world.flow_kb_per_s))
-      return fill_failed(*attempt, Result::kError, Note::kSourceLost);
+      return fill_failed(*attempt, Result::kError, AnswerDetail::kSourceLost);
     if (source.refuses || source.held >= source.waiting * source.slots)
-      return fill_failed(*attempt, Result::kError, Note::kSourceRefused);
+      return fill_failed(*attempt, Result::kError, AnswerDetail::kSourceRejected);
     attempt->source_life = source.life;
     attempt->at_source = true;
     ++source.held;
     if (source.kind == 2) {
-      attempt->copy_at = now_, attempt->note = Note::kFilledByOrigin;
+      attempt->copy_at = now_, attempt->note = AnswerDetail::kFilledByOrigin;
       ++origin_fetches_;
       return transfer(attempt->source, *attempt);
     }
     const Memory::Copy* copy = source.memory.find(attempt->unit);
     if (copy && (attempt->oldest <= 0 || copy->given_out >= now_ - attempt->oldest)) {
-      attempt->copy_at = copy->given_out, attempt->note = Note::kFilled;
+      attempt->copy_at = copy->given_out, attempt->note = AnswerDetail::kFilled;
       return transfer(attempt->source, *attempt);
     }
     if (attempt->held_only || source.kind == 0) {
       --source.held;
       attempt->at_source = false;
-      return fill_failed(*attempt, Result::kAbsent, Note::kSourceLacks);
+      return fill_failed(*attempt, Result::kAbsent, AnswerDetail::kSourceMissed);
     }
     at(now_ + plan_.world.way_origin, What::kOriginCome, origin_, id);
   }
@@ -678,11 +678,11 @@
     if (!origin.up || origin.refuses || origin.held >= origin.waiting * origin.slots) {
       --source.held;
       attempt->at_source = false;
-      return fill_failed(*attempt, Result::kError, Note::kOriginFailed);
+      return fill_failed(*attempt, Result::kError, AnswerDetail::kOriginFailed);
     }
     ++origin_fetches_;
     ++origin.held;
-    attempt->note = Note::kFilledByOrigin;
+    attempt->note = AnswerDetail::kFilledByOrigin;
     attempt->copy_at = now_;
     transfer(origin_, *attempt);
   }
@@ -809,7 +809,7 @@
         end_later(attempt, Result::kBroken, way_to(node));
       } else {
         attempt.at_source = false;
-        fill_failed(attempt, Result::kError, Note::kSourceLost);
+        fill_failed(attempt, Result::kError, AnswerDetail::kSourceLost);
       }
     });
   }
@@ -972,7 +972,7 @@
         return deadline(event.b);
       case What::kTold: {
         Host& host = *hosts_[event.a];
-        host.judge->list_starts(now_, ListScope::kChanges);
+        host.judge->list_starts(now_, ListCompleteness::kChanges);
         list_entry(host, static_cast<std::uint32_t>(event.b));
         return host.judge->list_ends(now_);
       }
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -878,31 +878,32 @@
   }
 
   // --- what is learnt from outcomes ---
-  void learn(Request& p, Attempt& off, Result result, Note note, Seconds waited, Seconds spent) {
+  void learn(Request& p, Attempt& off, Result result, AnswerDetail note, Seconds waited, Seconds spent) {
     const int c = off.node, s = off.source;
     const bool asked = s != c;
-    const bool lost = note == Note::kSourceLost;
+    const bool lost = note == AnswerDetail::kSourceLost;
     if (result == Result::kCompleted || result == Result::kError || result == Result::kAbsent ||
-        result == Result::kTurnedAway)
+        result == Result::kRejected)
       answered(c);
     switch (result) {
       case Result::kCompleted: {
-        const bool filled = note == Note::kFilled || note == Note::kFilledByOrigin;
+        const bool filled = note == AnswerDetail::kFilled || note == AnswerDetail::kFilledByOrigin;
         const bool measurable = p.size_kb > 0 && send_time(p) >= kMeasurable && spent > 0;
         const bool crowded = is_crowded(p, spent);
         if (asked) misses.add(now, filled ? 1 : 0, 1);
         if (spent > 0) pace.add(now, spent, send_time(p) + kSetup);
         serve_rate[c].add(now, p.size_kb, 1);
         if (measurable && !filled) measure_room(c, out_here[c] + 1, crowded, off.sent);
-        if (measurable && note == Note::kHit)
+        if (measurable && note == AnswerDetail::kHit)
           hit_drag.add(now, spent, send_time(p)), hit_drag_of[c].add(now, spent, send_time(p));
         // A fill that never took place is taken off the source's budget, at the time it was charged: a later
         // entry would outlive the charge and let more through than the budget holds. Only a note tells it,
         // and a copy that is renewed behind its answer asks the source all the same.
-        if ((note == Note::kHit || note == Note::kJoined) && grade_of(p).fresh <= 0 && off.source_charge > 0)
+        if ((note == AnswerDetail::kHit || note == AnswerDetail::kJoined) && grade_of(p).fresh <= 0 &&
+            off.source_charge > 0)
           ledger[s].emplace_back(off.sent, -off.source_charge);
         if (!asked || !filled) break;
-        const bool by_origin = is_origin(s) || (is_parent(s) && note == Note::kFilledByOrigin);
+        const bool by_origin = is_origin(s) || (is_parent(s) && note == AnswerDetail::kFilledByOrigin);
         answered(s), filled_at[s] = now;
         if (!crowded) spare_fills = std::min(kSaved, spare_fills + kEarned);
         if (measurable) {
@@ -915,11 +916,11 @@
         }
         if (by_origin) measure_origin(origin_pace(waited), off.sent);
         // Only full notes tell whether a parent held it; a sibling gives nothing else than what it holds.
-        if (is_cache_kind(s) || tells_all) held_share[s].add(now, note == Note::kFilled ? 1 : 0, 1);
+        if (is_cache_kind(s) || tells_all) held_share[s].add(now, note == AnswerDetail::kFilled ? 1 : 0, 1);
         break;
       }
       case Result::kAbsent:
-        if (!asked && note == Note::kJoined && !can_join && p.looks < kLooks &&
+        if (!asked && note == AnswerDetail::kJoined && !can_join && p.looks < kLooks &&
             p.deadline - now > kLookAgain + expected(p))
           p.under_way = true, wait(p, kLookAgain);
         if (!asked) break;
@@ -927,21 +928,21 @@
         if (is_parent(s)) answered(s), p.no_origin = true;  // it was to give what it held
         p.bad_sources.push_back(s);
         break;
-      case Result::kTurnedAway:
+      case Result::kRejected:
       case Result::kError:
-        if (asked && (lost || note == Note::kSourceRefused || note == Note::kOriginFailed)) {
+        if (asked && (lost || note == AnswerDetail::kSourceRejected || note == AnswerDetail::kOriginFailed)) {
           p.bad_sources.push_back(s), p.in_vain = true;
           // What failed behind one parent fails behind the next, and the next try only adds to it.
-          if (note == Note::kOriginFailed) p.no_origin = true;
+          if (note == AnswerDetail::kOriginFailed) p.no_origin = true;
           if (!is_cache_kind(s) && !lost) measure_origin(kOriginCut, off.sent);
           measure_room(s, 0, true, off.sent);
           if (lost) strike(s, 1), fill_rate[s].add(now, 0, std::max(waited, kMeasurable));
-        } else if (result == Result::kTurnedAway && is_origin(c)) {
+        } else if (result == Result::kRejected && is_origin(c)) {
           // Once may be the connection's fault; the next goes out on another.
           if (p.offs.size() > 1) measure_origin(kOriginCut, off.sent);
           if (p.deadline - now > 2 * kPause)
             wait(p, kPause * std::uniform_real_distribution<double>(0.5, 1.5)(chance));
-        } else if (result == Result::kTurnedAway) {
+        } else if (result == Result::kRejected) {
           p.bad_nodes.push_back(c);
         }
         break;
@@ -1105,7 +1106,7 @@
   mutable bool nodes_are_sorted = false;
   double flow = 0, link_part = 1, origin_part = 1, spare_fills = kSaved, origin_good = 0;
   Seconds link_heard = kLongAgo, origin_cut_at = kLongAgo, origin_calm_at = kLongAgo, origin_heard = kLongAgo;
-  ListScope scope = ListScope::kCached;
+  ListCompleteness scope = ListCompleteness::kCached;
   Average pace, origin_rate, usual_wait, misses, all_sends, false_caches, false_parents;
   Average hit_drag;
   std::pair<Seconds, double> fill_drag;
@@ -1159,22 +1160,22 @@
   return request ? m.oldest_copy(*request) : 0;
 }
 
-void Director::list_starts(Seconds now, ListScope scope) {
+void Director::list_starts(Seconds now, ListCompleteness scope) {
   State& m = state_->at(now);
   m.scope = scope;
-  if (scope == ListScope::kFailed) m.actions.wake(now + kListAgain, {"list"});
-  if (scope == ListScope::kFull || scope == ListScope::kCached)
+  if (scope == ListCompleteness::kFailed) m.actions.wake(now + kListAgain, {"list"});
+  if (scope == ListCompleteness::kFull || scope == ListCompleteness::kCached)
     std::fill(m.fresh.begin(), m.fresh.end(), false);
 }
 
 void Director::list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
-                          Readiness readiness, double weight, Seconds launched, Seconds stamped) {
+                          EndpointState endpoint_state, double weight, Seconds launched, Seconds stamped) {
   State& m = state_->at(now);
   const int n = m.index_of(node);
-  const bool newly = !m.listed[n] && m.scope == ListScope::kChanges;
+  const bool newly = !m.listed[n] && m.scope == ListCompleteness::kChanges;
   m.zone[n] = zone.value, m.kind[n] = kind.value, m.cell[n] = cell.value, m.weight[n] = weight;
-  m.listed[n] = m.fresh[n] = readiness != Readiness::kGone;
-  m.running[n] = readiness == Readiness::kRunning;
+  m.listed[n] = m.fresh[n] = endpoint_state != EndpointState::kGone;
+  m.running[n] = endpoint_state == EndpointState::kRunning;
   m.sort_out_kinds();
   if (m.room[n] <= 0) m.room[n] = m.first_room(n);
   // What comes up without a start time may have started this moment.
@@ -1186,7 +1187,7 @@
 
 void Director::list_ends(Seconds now) {
   State& m = state_->at(now);
-  const bool whole = m.scope == ListScope::kFull || m.scope == ListScope::kCached;
+  const bool whole = m.scope == ListCompleteness::kFull || m.scope == ListCompleteness::kCached;
   for (int n = 0; n < m.count(); ++n)
     if (whole && !m.fresh[n]) m.listed[n] = m.running[n] = false;  // rule 3: missing from a full list is gone
   m.sort_out_kinds();
@@ -1238,7 +1239,7 @@
 }
 
 void Director::attempt_ended(Seconds now, const RequestId& id, AttemptNumber number, const NodeId& node,
-                             Result result, Note note, Seconds waited, Seconds spent,
+                             Result result, AnswerDetail note, Seconds waited, Seconds spent,
                              const LoadReport& report, bool request_over) {
   State& m = state_->at(now);
   m.hear(node, report);
@@ -1251,7 +1252,7 @@
     off.out = false;
     m.work_out[off.node] -= m.send_time(p);
     m.out_here[off.node] -= off.in_room, --m.out_from[off.source];
-    const bool never_ran = result == Result::kTurnedAway || result == Result::kUnreachable ||
+    const bool never_ran = result == Result::kRejected || result == Result::kUnreachable ||
                            result == Result::kNotSent || result == Result::kAbsent ||
                            result == Result::kLocalFailure;
     p.may_have_run = p.may_have_run || !never_ran;
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -37,7 +37,7 @@
 enum class Result {
   kCompleted,
   kError,
-  kTurnedAway,
+  kRejected,
   kTimedOut,
   kUnreachable,
   kBroken,
@@ -46,21 +46,21 @@
   kAbsent,
   kLocalFailure  // our own side could not set up a connection; the node was not asked, and is not to blame
 };
-enum class Note {
+enum class AnswerDetail {
   kNone,
   kHit,
   kFilled,
   kFilledByOrigin,
   kJoined,
   kStale,
-  kSourceRefused,
+  kSourceRejected,
   kSourceLost,
-  kSourceLacks,
-  kNoPlace,
+  kSourceMissed,
+  kNoFillCapacity,
   kOriginFailed
 };
-enum class Readiness { kRunning, kDraining, kGone };
-enum class ListScope { kChanges, kFull, kCached, kFailed };
+enum class EndpointState { kRunning, kDraining, kGone };
+enum class ListCompleteness { kChanges, kFull, kCached, kFailed };
 
 // How a miss is filled and what is kept of it.
 struct FillTerms {
@@ -99,9 +99,9 @@
   // The list of nodes comes as a start, an entry for each node, and an end. launched: when the node counts as
   // started, 0 where the list does not tell. stamped: when it started by the list's own stamp, where that is
   // earlier; 0 where it is the same. A late word of a start makes the first later than the second.
-  void list_starts(Seconds now, ListScope scope);
+  void list_starts(Seconds now, ListCompleteness scope);
   void list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
-                  Readiness readiness, double weight, Seconds launched, Seconds stamped = 0);
+                  EndpointState endpoint_state, double weight, Seconds launched, Seconds stamped = 0);
   void list_ends(Seconds now);
 
   void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, TenantIndex tenant,
@@ -113,8 +113,8 @@
   void deadlines_end(Seconds now, Seconds at);
   void attempt_begun(Seconds now, const RequestId& request, AttemptNumber number);
   void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
-                     Result result, Note note, Seconds waited, Seconds spent, const LoadReport& report,
-                     bool request_over);
+                     Result result, AnswerDetail note, Seconds waited, Seconds spent,
+                     const LoadReport& report, bool request_over);
   void probe_ended(Seconds now, const NodeId& node, Result result, const LoadReport& report);
   void object_purged(Seconds now, ObjectId object, Seconds age);
   void group_purged(Seconds now, GroupId group, Seconds age);
--- a/src/protocol/events.cpp
+++ b/src/protocol/events.cpp
@@ -20,8 +20,9 @@
       handler.unknown_field(member.first);
 }
 
-const std::map<std::string, Readiness> kStates = {
-    {"active", Readiness::kRunning}, {"leaving", Readiness::kDraining}, {"left", Readiness::kGone}};
+const std::map<std::string, EndpointState> kStates = {{"active", EndpointState::kRunning},
+                                                      {"leaving", EndpointState::kDraining},
+                                                      {"left", EndpointState::kGone}};
 }  // namespace
 
 bool EventParser::feed(std::string_view piece, EventHandler& handler) {
--- a/src/protocol/events.hpp
+++ b/src/protocol/events.hpp
@@ -34,8 +34,8 @@
   virtual ~ChangeHandler() = default;
   virtual void list_starts(bool whole) = 0;
   virtual void list_entry(const NodeId& node, const std::string& address, const std::string& zone,
-                          const std::string& kind, CellIndex cell, Readiness readiness, double weight,
-                          double started_unix_ms) = 0;
+                          const std::string& kind, CellIndex cell, EndpointState endpoint_state,
+                          double weight, double started_unix_ms) = 0;
   virtual void list_ends() = 0;
   virtual void object_purged(ObjectId object, double unix_ms) = 0;
   virtual void group_purged(GroupId group, double unix_ms) = 0;
--- a/src/protocol/lines.cpp
+++ b/src/protocol/lines.cpp
@@ -16,7 +16,7 @@
 constexpr std::array<std::pair<std::string_view, Result>, 6> kWords = {{{"ACK", Result::kCompleted},
                                                                         {"NOMOD", Result::kCompleted},
                                                                         {"NOENT", Result::kAbsent},
-                                                                        {"AGAIN", Result::kTurnedAway},
+                                                                        {"AGAIN", Result::kRejected},
                                                                         {"EIO", Result::kError},
                                                                         {"STALE", Result::kNotSent}}};
 
@@ -93,7 +93,7 @@
     }
     if (rest.substr(whole - 2, 2) != "\r\n") return false;
 
-    Note note = Note::kNone;
+    AnswerDetail note = AnswerDetail::kNone;
     Seconds waited = 0;
     std::string_view tag;
     LoadReport report;
@@ -103,7 +103,7 @@
       const std::string_view name = next_part(value, '=');
       if (name == "why") {
         const auto place = std::find(kNotes.begin(), kNotes.end(), value);
-        if (place != kNotes.end()) note = static_cast<Note>(place - kNotes.begin() + 1);
+        if (place != kNotes.end()) note = static_cast<AnswerDetail>(place - kNotes.begin() + 1);
       } else if (name == "slow") {
         const auto told = number<double>(value);
         if (told && std::isfinite(*told)) waited = std::max(0.0, *told / 1000);
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -28,8 +28,9 @@
  public:
   virtual ~AnswerHandler() = default;
   // Views last only for the call.
-  virtual void answer(std::string_view request, Result result, Note note, Seconds waited, bool same_copy,
-                      std::string_view tag, const LoadReport& report, std::string_view body) = 0;
+  virtual void answer(std::string_view request, Result result, AnswerDetail note, Seconds waited,
+                      bool same_copy, std::string_view tag, const LoadReport& report,
+                      std::string_view body) = 0;
   virtual void unknown_field(std::string_view name) = 0;
 };
 
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -268,7 +268,7 @@
   answer(status, "", "");
 }
 
-void ClientConnection::label(ipfix::Outcome outcome, Note note) {
+void ClientConnection::label(ipfix::Outcome outcome, AnswerDetail note) {
   if (!tap_) return;
   ipfix::Label label;
   if (outcome != ipfix::Outcome::kNone)
@@ -281,7 +281,7 @@
 }
 
 void ClientConnection::answer(int status, std::string_view more, std::string bytes, ipfix::Outcome outcome,
-                              Note note) {
+                              AnswerDetail note) {
   try {
     begin_answer(status, more, std::move(bytes), outcome, note);
   } catch (...) {  // no memory for it
@@ -292,7 +292,7 @@
 }
 
 void ClientConnection::begin_answer(int status, std::string_view more, std::string bytes,
-                                    ipfix::Outcome outcome, Note note) {
+                                    ipfix::Outcome outcome, AnswerDetail note) {
   owed_ = false;
   forwarded_request_.reset();
   label(outcome, note);
@@ -409,7 +409,7 @@
     forwarded_request_->client_gone = true;  // at once, ahead of what is posted to the module
   const bool owed = std::exchange(owed_, false);
   try {
-    if (owed) label(ipfix::Outcome::kLeft, Note::kNone);
+    if (owed) label(ipfix::Outcome::kLeft, AnswerDetail::kNone);
     if (owed) listener_.module_.request_left(request_);
   } catch (...) {  // no memory: the request ends by its deadline, unheard
     listener_.report(std::current_exception());
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -63,8 +63,9 @@
   bool serve_request();
   void refuse(int status);
   void answer(int status, std::string_view more, std::string bytes,
-              ipfix::Outcome outcome = ipfix::Outcome::kNone, Note note = Note::kNone);
-  void begin_answer(int status, std::string_view more, std::string bytes, ipfix::Outcome outcome, Note note);
+              ipfix::Outcome outcome = ipfix::Outcome::kNone, AnswerDetail note = AnswerDetail::kNone);
+  void begin_answer(int status, std::string_view more, std::string bytes, ipfix::Outcome outcome,
+                    AnswerDetail note);
   // What the module answers; without_memory is sent where there is none for that.
   template <class Work>
   void post_answer(const RequestId& request, std::string_view without_memory, Work work);
@@ -76,7 +77,7 @@
   void watch_linger();
   void end_linger();
   // For flow records: what was read for this request, and what will be written for it, belong to its label.
-  void label(ipfix::Outcome outcome, Note note);
+  void label(ipfix::Outcome outcome, AnswerDetail note);
   void leave();
   static transport::Task<> live(std::shared_ptr<ClientConnection> self);
   static transport::Task<> read(std::shared_ptr<ClientConnection> self);
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -27,25 +27,26 @@
     whole_ = whole;
     module_.start_times_.list_starts(
         known_ ? policy::ListSource::kKnownBeforeStart : policy::ListSource::kChangeStream, whole);
-    module_.director_->list_starts(
-        now(), whole ? known_ ? ListScope::kCached : ListScope::kFull : ListScope::kChanges);
+    module_.director_->list_starts(now(), whole ? known_ ? ListCompleteness::kCached : ListCompleteness::kFull
+                                                : ListCompleteness::kChanges);
   }
   void list_entry(const NodeId& node, const std::string& address, const std::string& zone,
-                  const std::string& kind, CellIndex cell, Readiness readiness, double weight,
+                  const std::string& kind, CellIndex cell, EndpointState endpoint_state, double weight,
                   double started_unix_ms) override {
     const auto place = transport::Address::parse(address);
-    if (readiness != Readiness::kGone && !place) return skipped("the address '" + address + "'");
-    if (readiness == Readiness::kGone) {
+    if (endpoint_state != EndpointState::kGone && !place) return skipped("the address '" + address + "'");
+    if (endpoint_state == EndpointState::kGone) {
       retire(node);
     } else {
       listed_.insert(node);
       connect(node, *place, kind);
     }
     // The director's clock is near Unix time by a base that was fixed at its start: later steps move nothing.
-    const Seconds started =
-        readiness == Readiness::kGone ? 0 : module_.start_times_.started(now(), node, started_unix_ms / 1000);
+    const Seconds started = endpoint_state == EndpointState::kGone
+                                ? 0
+                                : module_.start_times_.started(now(), node, started_unix_ms / 1000);
     module_.director_->list_entry(now(), node, {index(module_.names_.zones, zone)},
-                                  {index(module_.names_.kinds, kind)}, cell, readiness, weight, started,
+                                  {index(module_.names_.kinds, kind)}, cell, endpoint_state, weight, started,
                                   started_unix_ms / 1000);
   }
   void list_ends() override {
@@ -274,14 +275,14 @@
 }
 
 void DirectorActor::ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
-                          Note note, Seconds waited, LoadReport report, Content content) {
+                          AnswerDetail note, Seconds waited, LoadReport report, Content content) {
   mailbox_.post([=, this, report = std::move(report), content = std::move(content)]() mutable {
     attempt_ended(request, number, node, result, note, waited, report, std::move(content));
   });
 }
 
 void DirectorActor::attempt_ended(const RequestId& id, AttemptNumber number, const NodeId& node,
-                                  Result result, Note note, Seconds waited, const LoadReport& report,
+                                  Result result, AnswerDetail note, Seconds waited, const LoadReport& report,
                                   Content content) {
   const auto found = requests_.find(id);
   const auto place = static_cast<std::size_t>(number.value);
@@ -311,7 +312,7 @@
     case Result::kError:
       ++counters_.ended_error;
       break;
-    case Result::kTurnedAway:
+    case Result::kRejected:
       ++counters_.ended_turned_away;
       break;
     case Result::kTimedOut:
@@ -348,7 +349,7 @@
   // Its time may have gone by while the process stood still, or its client has left: nobody waits for it any
   // more.
   if (peer == upstream_nodes_.end() || now >= request->deadline || request->forwarded_request->client_gone)
-    return ended(id, number, node, Result::kNotSent, Note::kNone, 0, {}, {});
+    return ended(id, number, node, Result::kNotSent, AnswerDetail::kNone, 0, {}, {});
   const Seconds until = time_out > 0 ? std::min(now + time_out, request->deadline) : request->deadline;
   peer->second->attempt(id, number, request->forwarded_request, fill, until);
 }
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -66,8 +66,8 @@
   void request_left(const RequestId& request);
   // A request that a limit kept from the module: counted, and answered by whoever calls.
   void turned_back() { ++counters_.taken, ++counters_.bounced, ++counters_.turned_back; }
-  void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result, Note note,
-             Seconds waited, LoadReport report, Content content) override;
+  void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
+             AnswerDetail note, Seconds waited, LoadReport report, Content content) override;
   Seconds oldest_copy(const RequestId& request) override {
     return director_->oldest_copy(clock_.now(), request);
   }
@@ -93,7 +93,7 @@
                std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                std::weak_ptr<ResponseSink> response_sink);
   void attempt_ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
-                     Note note, Seconds waited, const LoadReport& report, Content content);
+                     AnswerDetail note, Seconds waited, const LoadReport& report, Content content);
   void end_by_last_resort(const RequestId& request);
   void watch_overdue(const RequestId& id, Request& request);
   Request* owed(const RequestId& request);
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -23,7 +23,7 @@
   UpstreamConnection(UpstreamNode& owner, const Limits& limits)
       : peer(owner), in(limits.buffer_kept), parser(limits.answer_line, limits.answer_body) {}
 
-  void answer(std::string_view id, Result result, Note note, Seconds waited, bool same_copy,
+  void answer(std::string_view id, Result result, AnswerDetail note, Seconds waited, bool same_copy,
               std::string_view tag, const LoadReport& report, std::string_view body) override {
     const RequestId request{std::string(id)};
     if (!open.contains(request)) {
@@ -35,7 +35,7 @@
     // Guards against a node that takes more connections than it serves and turns away whatever comes on those
     // too many, for as long as they stand: what comes next goes out on another. Also meets a node that is
     // full; there it costs a connection set up anew, by each of many directors, until one has been served.
-    const bool turned_away = result == Result::kTurnedAway && note == Note::kNone;
+    const bool turned_away = result == Result::kRejected && note == AnswerDetail::kNone;
     if (turned_away && !served && !std::exchange(retiring, true)) ++peer.counters_.links_turned_away;
     served = served || !turned_away;
     if (result != Result::kCompleted) remember(request);  // it may come again, and its answer may come twice
@@ -164,7 +164,7 @@
   const RequestId request = message.request;
   const Seconds now = Scheduler::now();
   const ConnectionPointer link = message.may_begin(now) ? choose_link(request) : nullptr;
-  if (!link) return told_.ended(request, number, node_, Result::kNotSent, Note::kNone, 0, {}, {});
+  if (!link) return told_.ended(request, number, node_, Result::kNotSent, AnswerDetail::kNone, 0, {}, {});
   const Seconds give_up_at = message.give_up_at;
   Open open;
   open.number = number;
@@ -203,8 +203,8 @@
       // out on it may have run. If none is, it must not go out later either, once the node has long been
       // drained, or with the age bound of a time before a purge.
       const bool begun = link->begun(request);
-      end(link, request, result == Result::kTimedOut ? Result::kUnreachable : Result::kNotSent, Note::kNone,
-          0, {}, {});
+      end(link, request, result == Result::kTimedOut ? Result::kUnreachable : Result::kNotSent,
+          AnswerDetail::kNone, 0, {}, {});
       if (begun) return drop(link);
       std::erase_if(link->out, [&](const UpstreamMessage& piece) { return piece.request == request; });
       return settle(link);
@@ -218,14 +218,14 @@
       link->suspect = true;
       ++counters_.links_doubted;
     }
-    end(link, request, result, Note::kNone, 0, {}, {});
+    end(link, request, result, AnswerDetail::kNone, 0, {}, {});
     if (link->state == UpstreamConnection::State::kUp) pump(link);
     return;
   }
 }
 
-void UpstreamNode::end(const ConnectionPointer& link, const RequestId& request, Result result, Note note,
-                       Seconds waited, LoadReport report, Content content) {
+void UpstreamNode::end(const ConnectionPointer& link, const RequestId& request, Result result,
+                       AnswerDetail note, Seconds waited, LoadReport report, Content content) {
   const auto found = link->open.find(request);
   const AttemptNumber number = found->second.number;
   book(*link, found->second, result, note, 0);
@@ -269,7 +269,7 @@
   if (link->state == UpstreamConnection::State::kClosed) return;
   link->state = UpstreamConnection::State::kClosed;
   for (auto& [request, open] : link->open)
-    book(*link, open, open.written ? Result::kBroken : Result::kNotSent, Note::kNone, 0);
+    book(*link, open, open.written ? Result::kBroken : Result::kNotSent, AnswerDetail::kNone, 0);
   link->tap = nullptr;  // goes with the socket
   link->socket.close();
   if (!link->open.empty()) ++counters_.links_broken;
@@ -297,7 +297,7 @@
     if (!open.written && !open.moved_on && may_move_on && !gone_ && message != link->out.end())
       other = choose_link(request);
     if (!other) {
-      end(link, request, open.written ? written : unwritten, Note::kNone, 0, {}, {});
+      end(link, request, open.written ? written : unwritten, AnswerDetail::kNone, 0, {}, {});
       continue;
     }
     ++counters_.moved_on;
@@ -328,14 +328,14 @@
   }
 }
 
-void UpstreamNode::book(UpstreamConnection& link, Open& open, Result result, Note note,
+void UpstreamNode::book(UpstreamConnection& link, Open& open, Result result, AnswerDetail note,
                         std::size_t octets_read) {
   if (!link.tap) return;
   using ipfix::Outcome;
   Outcome outcome = Outcome::kForfeited;
   if (result == Result::kCompleted) outcome = Outcome::kCompleted;
   if (result == Result::kCancelled) outcome = Outcome::kLeft;
-  if (result == Result::kTurnedAway || result == Result::kNotSent || result == Result::kAbsent ||
+  if (result == Result::kRejected || result == Result::kNotSent || result == Result::kAbsent ||
       result == Result::kUnreachable)
     outcome = Outcome::kBounced;
   const std::size_t written = std::exchange(open.octets, 0);
@@ -372,7 +372,7 @@
   }
   const RequestId request = message.request;
   link->out.pop_front();
-  end(link, request, Result::kNotSent, Note::kNone, 0, {}, {});
+  end(link, request, Result::kNotSent, AnswerDetail::kNone, 0, {}, {});
   return false;
 }
 
--- a/src/routing/upstream_node.hpp
+++ b/src/routing/upstream_node.hpp
@@ -25,7 +25,7 @@
 struct Content {
   bool same_copy = false;  // the client's copy is the one; no bytes
   std::string tag, bytes;
-  Note note = Note::kNone;
+  AnswerDetail note = AnswerDetail::kNone;
 };
 
 class Attempts {
@@ -33,7 +33,7 @@
   virtual ~Attempts() = default;
   // The one end of an attempt.
   virtual void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
-                     Note note, Seconds waited, LoadReport report, Content content) = 0;
+                     AnswerDetail note, Seconds waited, LoadReport report, Content content) = 0;
   // The oldest copy that will do for the request at this moment (Director::oldest_copy). Asked when the first
   // byte of an attempt is about to be written.
   virtual Seconds oldest_copy(const RequestId& request) = 0;
@@ -75,8 +75,8 @@
   transport::Scheduler::TimerKey watch(const RequestId& request, AttemptNumber number, Seconds until,
                                        Seconds give_up_at);
   void give_up(const RequestId& request, AttemptNumber number, Result result);
-  void end(const ConnectionPointer& link, const RequestId& request, Result result, Note note, Seconds waited,
-           LoadReport report, Content content);
+  void end(const ConnectionPointer& link, const RequestId& request, Result result, AnswerDetail note,
+           Seconds waited, LoadReport report, Content content);
   void end_all(const ConnectionPointer& link, Result written, Result unwritten, bool may_move_on);
   // Moves an attempt of which the node has nothing whole to another connection.
   void move_attempt(const ConnectionPointer& from, UpstreamMessage message, const ConnectionPointer& to);
@@ -93,7 +93,7 @@
   bool prepare_first(const ConnectionPointer& link);
   void wrote(UpstreamConnection& link, std::size_t bytes);
   // For flow records: books what was written of an attempt, and so much read, by how it ended.
-  void book(UpstreamConnection& link, Open& open, Result result, Note note, std::size_t octets_read);
+  void book(UpstreamConnection& link, Open& open, Result result, AnswerDetail note, std::size_t octets_read);
   static transport::Task<> live(std::shared_ptr<UpstreamNode> self);
   void watch_idle(const ConnectionPointer& link, Seconds until);
   static transport::Task<> run(std::shared_ptr<UpstreamNode> self, ConnectionPointer link);
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -72,8 +72,8 @@
   }
 
   // Lists nodes as "c1 c2 P1 O"; the state and start time are the same for all of them.
-  void list(ListScope scope, const std::string& names, Readiness readiness = Readiness::kRunning,
-            Seconds launched = 0) {
+  void list(ListCompleteness scope, const std::string& names,
+            EndpointState endpoint_state = EndpointState::kRunning, Seconds launched = 0) {
     director->list_starts(now, scope);
     std::istringstream words(names);
     for (std::string name; words >> name;) {
@@ -83,7 +83,7 @@
                            {parent   ? 1
                             : origin ? 2
                                      : 0},
-                           {name == "c4" ? 2 : 1}, readiness,
+                           {name == "c4" ? 2 : 1}, endpoint_state,
                            origin   ? 1
                            : parent ? 20
                                     : 6,
@@ -97,8 +97,8 @@
                               {static_cast<std::int64_t>(object % 8)}, now + 5, size_kb, false, grade == 2);
   }
   // The attempt's end; its time is given, the clock moves by it.
-  void ends(const std::string& id, int number, Result result, Note note = Note::kNone, Seconds spent = 0.01,
-            bool over = false) {
+  void ends(const std::string& id, int number, Result result, AnswerDetail note = AnswerDetail::kNone,
+            Seconds spent = 0.01, bool over = false) {
     now += spent;
     director->attempt_ended(now, {id}, {number}, {node_of[id][number]}, result, note, spent / 4, spent, {},
                             over || result == Result::kCompleted);
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -10,13 +10,14 @@
 const char* const kAll = "c1 c2 c3 P1 P2 P3 O";
 
 // Fills from each source as told: its rate in KB/s, and whether it held the object.
-void feed(Rig& rig, const std::map<std::string, std::pair<double, Note>>& sources, int requests, int first) {
+void feed(Rig& rig, const std::map<std::string, std::pair<double, AnswerDetail>>& sources, int requests,
+          int first) {
   for (int i = 0; i < requests; ++i) {
     const std::string id = named("feed", first + i);
     rig.request(id, static_cast<std::uint64_t>(first + i));
     const auto found = sources.find(rig.source_of[id]);
     if (found == sources.end()) {
-      rig.ends(id, 0, Result::kCompleted, Note::kHit, 0.4);
+      rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.4);
     } else {
       rig.ends(id, 0, Result::kCompleted, found->second.second, 400 / found->second.first);
     }
@@ -31,7 +32,7 @@
     const std::string id = named("see", first + i);
     rig.request(id, static_cast<std::uint64_t>(first + i));
     line += " " + rig.source_of[id];
-    rig.ends(id, 0, Result::kCompleted, Note::kHit, 0.01);
+    rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.01);
   }
   rig.taken();
   return line + "\n";
@@ -40,7 +41,7 @@
 
 TEST_CASE("home and parent") {
   Rig rig;
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   for (int object = 1; object <= 3; ++object) rig.request(named("p", object), object);
   rig.say(
       "the same object again has the same home and parent; a second part has its own home, not its own "
@@ -55,49 +56,53 @@
 
 TEST_CASE("three bands for a parent") {
   std::string trace;
-  const auto see = [&](const std::string& what, double p1, Note note) {
+  const auto see = [&](const std::string& what, double p1, AnswerDetail note) {
     Rig rig;
-    rig.list(ListScope::kCached, kAll);
+    rig.list(ListCompleteness::kCached, kAll);
     // P2 and P3 set the origin's rate of 1000 by what they fetch, and hold a part of what they are asked for.
     for (int round = 0; round < 4; ++round) {
-      feed(rig, {{"P1", {p1, note}}, {"P2", {1000, Note::kFilledByOrigin}}, {"P3", {1000, Note::kFilled}}},
+      feed(rig,
+           {{"P1", {p1, note}},
+            {"P2", {1000, AnswerDetail::kFilledByOrigin}},
+            {"P3", {1000, AnswerDetail::kFilled}}},
            12, 1000 + 50 * round);
     }
     trace += what + ":" + sources_of_next(rig, 1);
   };
-  see("P1 under the low threshold, all held", 60, Note::kFilled);
-  see("P1 just over the low threshold, all held", 140, Note::kFilled);
-  see("P1 between the thresholds, nothing held", 500, Note::kFilledByOrigin);
-  see("P1 over the high threshold, all held", 1500, Note::kFilled);
+  see("P1 under the low threshold, all held", 60, AnswerDetail::kFilled);
+  see("P1 just over the low threshold, all held", 140, AnswerDetail::kFilled);
+  see("P1 between the thresholds, nothing held", 500, AnswerDetail::kFilledByOrigin);
+  see("P1 over the high threshold, all held", 1500, AnswerDetail::kFilled);
   Rig unheard;
-  unheard.list(ListScope::kCached, kAll);
-  feed(unheard, {{"P2", {1000, Note::kFilledByOrigin}}, {"P3", {1000, Note::kFilled}}}, 24, 1000);
+  unheard.list(ListCompleteness::kCached, kAll);
+  feed(unheard, {{"P2", {1000, AnswerDetail::kFilledByOrigin}}, {"P3", {1000, AnswerDetail::kFilled}}}, 24,
+       1000);
   trace += "P1 unheard:" + sources_of_next(unheard, 1);
   check_trace("bands_parent", trace);
 }
 
 TEST_CASE("a share that falls for all drops nobody") {
   Rig rig;
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   feed(rig,
-       {{"P1", {900, Note::kFilledByOrigin}},
-        {"P2", {1000, Note::kFilledByOrigin}},
-        {"P3", {1000, Note::kFilledByOrigin}}},
+       {{"P1", {900, AnswerDetail::kFilledByOrigin}},
+        {"P2", {1000, AnswerDetail::kFilledByOrigin}},
+        {"P3", {1000, AnswerDetail::kFilledByOrigin}}},
        40, 1000);
   check_trace("shares_fall_together", "nothing held anywhere, P1 slowest:" + sources_of_next(rig, 1));
 }
 
 TEST_CASE("spread, sibling fill, and the parent after a sibling miss") {
   Rig rig;
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   for (int i = 0; i < 4; ++i) {
     const std::string id = named("hot", i);
     rig.request(id, 5);
-    if (i < 3) rig.ends(id, 0, Result::kCompleted, Note::kHit, 0.1);
+    if (i < 3) rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.1);
   }
   rig.say("the sibling lacks it: the object's parent");
-  rig.ends("hot3", 0, Result::kAbsent, Note::kSourceLacks);
-  rig.ends("hot3", 1, Result::kCompleted, Note::kFilled, 0.4);
+  rig.ends("hot3", 0, Result::kAbsent, AnswerDetail::kSourceMissed);
+  rig.ends("hot3", 1, Result::kCompleted, AnswerDetail::kFilled, 0.4);
   check_trace("spread", rig.taken());
 }
 
@@ -105,18 +110,18 @@
   std::string trace;
   const auto see = [&](const std::string& what, double rate, int held_in_ten) {
     Rig rig;
-    rig.list(ListScope::kCached, "c1 c2 P1 O");
-    feed(rig, {{"P1", {1000, Note::kFilled}}}, 10, 1000);
+    rig.list(ListCompleteness::kCached, "c1 c2 P1 O");
+    feed(rig, {{"P1", {1000, AnswerDetail::kFilled}}}, 10, 1000);
     for (int i = 0; i < 30; ++i) {
       const std::string id = named("hot", i);
       rig.request(id, 5);
       if (rig.source_of[id][0] == 'P') {
-        rig.ends(id, 0, Result::kCompleted, Note::kHit, 0.05);
+        rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.05);
       } else if (i % 10 < held_in_ten) {
-        rig.ends(id, 0, Result::kCompleted, Note::kFilled, 400 / rate);
+        rig.ends(id, 0, Result::kCompleted, AnswerDetail::kFilled, 400 / rate);
       } else {
-        rig.ends(id, 0, Result::kAbsent, Note::kSourceLacks);
-        rig.ends(id, 1, Result::kCompleted, Note::kHit, 0.05);
+        rig.ends(id, 0, Result::kAbsent, AnswerDetail::kSourceMissed);
+        rig.ends(id, 1, Result::kCompleted, AnswerDetail::kHit, 0.05);
       }
     }
     rig.taken();
@@ -125,7 +130,7 @@
       const std::string id = named("see", i);
       rig.request(id, 5);
       asked += rig.source_of[id][0] == 'c';
-      rig.ends(id, 0, Result::kCompleted, Note::kHit, 0.05);
+      rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.05);
     }
     trace += what + ": named as source in " + std::to_string(asked) + " of 6\n";
   };
@@ -137,51 +142,51 @@
 
 TEST_CASE("a lost parent is left out, and comes back by a trial") {
   Rig rig;
-  rig.list(ListScope::kCached, "c1 c2 c3 P1 P2 O");
-  feed(rig, {{"P1", {1000, Note::kFilled}}, {"P2", {1000, Note::kFilled}}}, 10, 1000);
+  rig.list(ListCompleteness::kCached, "c1 c2 c3 P1 P2 O");
+  feed(rig, {{"P1", {1000, AnswerDetail::kFilled}}, {"P2", {1000, AnswerDetail::kFilled}}}, 10, 1000);
   for (int i = 0, lost = 0; lost < 3; ++i) {
     const std::string id = named("p", i);
     rig.request(id, i);
     const bool gone = rig.source_of[id] == "P1";
-    rig.ends(id, 0, gone ? Result::kTurnedAway : Result::kCompleted, gone ? Note::kSourceLost : Note::kFilled,
-             0.3);
-    if (gone) rig.ends(id, 1, Result::kCompleted, Note::kFilled, 0.3), ++lost;
+    rig.ends(id, 0, gone ? Result::kRejected : Result::kCompleted,
+             gone ? AnswerDetail::kSourceLost : AnswerDetail::kFilled, 0.3);
+    if (gone) rig.ends(id, 1, Result::kCompleted, AnswerDetail::kFilled, 0.3), ++lost;
   }
   rig.say("a while later its trial goes well, and it has its requests again");
   rig.after(2);
   for (int i = 40; i < 46; ++i) {
     const std::string id = named("p", i);
     rig.request(id, i);
-    rig.ends(id, 0, Result::kCompleted, Note::kFilled, 0.3);
+    rig.ends(id, 0, Result::kCompleted, AnswerDetail::kFilled, 0.3);
   }
   check_trace("lost_parent", rig.taken());
 }
 
 TEST_CASE("the origin only when no parent is kept") {
   Rig rig;
-  rig.list(ListScope::kCached, "c1 c2 P1 P2 O");
+  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 O");
   rig.request("p1", 1);
   rig.say("both parents refuse: they are still kept, the origin is not asked");
-  rig.ends("p1", 0, Result::kTurnedAway, Note::kSourceRefused);
-  rig.ends("p1", 1, Result::kTurnedAway, Note::kSourceRefused);
-  rig.ends("p1", 2, Result::kCompleted, Note::kHit);
+  rig.ends("p1", 0, Result::kRejected, AnswerDetail::kSourceRejected);
+  rig.ends("p1", 1, Result::kRejected, AnswerDetail::kSourceRejected);
+  rig.ends("p1", 2, Result::kCompleted, AnswerDetail::kHit);
   rig.say("both are gone from the list");
-  rig.list(ListScope::kChanges, "P1 P2", Readiness::kGone);
+  rig.list(ListCompleteness::kChanges, "P1 P2", EndpointState::kGone);
   rig.request("p2", 2);
   check_trace("origin_last", rig.taken());
 }
 
 TEST_CASE("what the origin failed behind one parent is not asked of the next") {
   Rig rig;
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   rig.request("p1", 1);
-  rig.ends("p1", 0, Result::kTurnedAway, Note::kOriginFailed);
+  rig.ends("p1", 0, Result::kRejected, AnswerDetail::kOriginFailed);
   check_trace("origin_failed", rig.taken());
 }
 
 TEST_CASE("a crowded cache: the second by the hash, then a bounce at once") {
   Rig rig;
-  rig.list(ListScope::kCached, "c1 c2 P1 P2 P3 O");
+  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 P3 O");
   for (int i = 0; i < 40; ++i) rig.request(named("p", i), i);
   const std::string trace = rig.taken();
   std::map<std::string, int> kinds;
@@ -197,21 +202,21 @@
   Rig rig;
   rig.say("nobody listed");
   rig.request("p1", 1);
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   rig.say("a time-out at the hard stop");
   rig.request("p2", 2, 3);
-  rig.ends("p2", 0, Result::kTimedOut, Note::kNone, 5);
+  rig.ends("p2", 0, Result::kTimedOut, AnswerDetail::kNone, 5);
   rig.say("dropped: only a cancel may follow, and what is heard later changes nothing");
   rig.request("p3", 3);
   rig.director->request_dropped(rig.now, {"p3"});
-  rig.ends("p3", 0, Result::kCancelled, Note::kNone, 0.01, true);
+  rig.ends("p3", 0, Result::kCancelled, AnswerDetail::kNone, 0.01, true);
   rig.director->woken(rig.now, {"late:0:p3"});
   rig.director->woken(rig.now, {"resume:p3"});
   rig.ends("p3", 0, Result::kCompleted);
   rig.say("all turn it away: a pause, and its wake comes a hair too early");
-  rig.list(ListScope::kFull, "c1 P1");
+  rig.list(ListCompleteness::kFull, "c1 P1");
   rig.request("p4", 4);
-  rig.ends("p4", 0, Result::kTurnedAway);
+  rig.ends("p4", 0, Result::kRejected);
   rig.now = rig.timers.begin()->first;
   for (const auto& [at, token] : std::multimap<Seconds, TimerToken>(rig.timers)) {
     if (!token.value.starts_with("resume:p4")) continue;
@@ -223,10 +228,10 @@
 
 TEST_CASE("after a slow spell the first attempt is still made") {
   Rig rig;
-  rig.list(ListScope::kCached, "c1 P1 O");
+  rig.list(ListCompleteness::kCached, "c1 P1 O");
   for (int i = 0; i < 3; ++i) {
     rig.request(named("p", i), i);
-    rig.ends(named("p", i), 0, Result::kCompleted, Note::kHit, 4.9);
+    rig.ends(named("p", i), 0, Result::kCompleted, AnswerDetail::kHit, 4.9);
   }
   rig.taken();
   rig.request("next", 9, 0, 4000);
@@ -235,10 +240,10 @@
 
 TEST_CASE("rule 2: no effect twice") {
   Rig rig(Settings{{"FamilyInfo.Direct", "true"}});
-  rig.list(ListScope::kCached, "c1 c2 c4 P1 P2 O");
+  rig.list(ListCompleteness::kCached, "c1 c2 c4 P1 P2 O");
   rig.say("binding, turned away unseen: once more; broken: forfeit, nothing else");
   rig.request("b1", 1, 2);
-  rig.ends("b1", 0, Result::kTurnedAway);
+  rig.ends("b1", 0, Result::kRejected);
   rig.run_until(rig.now + 0.2);
   rig.ends("b1", 1, Result::kBroken);
   rig.say("retriable, broken: the next cache");
@@ -247,7 +252,7 @@
   check_trace("rule2_binding", rig.taken());
 
   Rig group(Settings{{"RequestClasses.3.Group", "cell"}});
-  group.list(ListScope::kCached, "c1 c2 c4 P1 O");
+  group.list(ListCompleteness::kCached, "c1 c2 c4 P1 O");
   for (const int object : {1, 2, 3, 4}) {
     const std::string id = named("f", object);
     group.request(id, object, 3);
@@ -260,13 +265,13 @@
 
 TEST_CASE("rule 3: drains") {
   Rig rig;
-  rig.list(ListScope::kCached, "c1 c2 P1 P2 O");
+  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 O");
   for (int i = 1; i <= 4; ++i) rig.request(named("p", i), i);
   rig.say("c1 and P1 drain");
-  rig.list(ListScope::kChanges, "c1 P1", Readiness::kDraining);
+  rig.list(ListCompleteness::kChanges, "c1 P1", EndpointState::kDraining);
   for (int i = 1; i <= 4; ++i) rig.request(named("q", i), i);
   rig.say("a full list without c2");
-  rig.list(ListScope::kFull, "c1 P2 O");
+  rig.list(ListCompleteness::kFull, "c1 P2 O");
   rig.request("r1", 1);
   check_trace("rule3_drains", rig.taken());
 }
@@ -282,21 +287,21 @@
         const bool meant = rig.node_of[id][n] == node || rig.source_of[id] == node;
         if (meant) work += 0.4;
         if (look)
-          rig.ends(id, static_cast<int>(n), Result::kAbsent, Note::kNone, 0.0);
+          rig.ends(id, static_cast<int>(n), Result::kAbsent, AnswerDetail::kNone, 0.0);
         else
-          rig.ends(id, static_cast<int>(n), Result::kCompleted, Note::kFilled, 0.02);
+          rig.ends(id, static_cast<int>(n), Result::kCompleted, AnswerDetail::kFilled, 0.02);
       }
     }
     return "work sent to " + node + " in 1.2 s: " + Rig::text(work) + "\n";
   };
   Rig cache;
-  cache.list(ListScope::kCached, "c1 P1 O");
-  cache.list(ListScope::kChanges, "c1", Readiness::kRunning, 99.9);
+  cache.list(ListCompleteness::kCached, "c1 P1 O");
+  cache.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, 99.9);
   Rig warm;
-  warm.list(ListScope::kCached, "c1 P1 O");
+  warm.list(ListCompleteness::kCached, "c1 P1 O");
   Rig parent;
-  parent.list(ListScope::kCached, "c1 c2 P1 O");
-  parent.list(ListScope::kChanges, "P1", Readiness::kRunning, 99.9);
+  parent.list(ListCompleteness::kCached, "c1 c2 P1 O");
+  parent.list(ListCompleteness::kChanges, "P1", EndpointState::kRunning, 99.9);
   check_trace("rule4_cold", "cold cache, " + most_in_two_seconds("c1", cache) + "warm cache, " +
                                 most_in_two_seconds("c1", warm) + "cold parent, " +
                                 most_in_two_seconds("P1", parent));
@@ -304,25 +309,25 @@
 
 TEST_CASE("no fill is started for what is under way already, where none can be joined") {
   Rig rig(Settings{{"FamilyInfo.CanJoin", "false"}});
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   rig.request("p1", 1);
   rig.say("nothing there: a fill");
   rig.ends("p1", 0, Result::kAbsent);
   rig.request("p2", 1);
   rig.say("one is under way: another look in a moment, and it is there");
-  rig.ends("p2", 0, Result::kAbsent, Note::kJoined);
+  rig.ends("p2", 0, Result::kAbsent, AnswerDetail::kJoined);
   rig.run_until(rig.now + 0.2);
-  rig.ends("p2", 1, Result::kCompleted, Note::kHit, 0.1);
+  rig.ends("p2", 1, Result::kCompleted, AnswerDetail::kHit, 0.1);
   rig.request("p3", 2);
   rig.say("too late for another look: it is not held until its hard stop");
   rig.after(4.85);
-  rig.ends("p3", 0, Result::kAbsent, Note::kJoined);
+  rig.ends("p3", 0, Result::kAbsent, AnswerDetail::kJoined);
   check_trace("look_first", rig.taken());
 }
 
 TEST_CASE("fills that failed are tried again in proportion to those that come in") {
   Rig rig;
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   std::string line;
   const auto refused = [&](int first) {
     line += "attempts of requests whose fills are refused:";
@@ -330,14 +335,17 @@
       const std::string id = named("p", i);
       rig.request(id, static_cast<std::uint64_t>(i));
       for (std::size_t n = 0; n < rig.node_of[id].size(); ++n)
-        rig.ends(id, static_cast<int>(n), Result::kTurnedAway, Note::kSourceRefused);
+        rig.ends(id, static_cast<int>(n), Result::kRejected, AnswerDetail::kSourceRejected);
       line += " " + std::to_string(rig.node_of[id].size());
     }
     line += "\n";
   };
   refused(0);
-  feed(rig, {{"P1", {1000, Note::kFilled}}, {"P2", {1000, Note::kFilled}}, {"P3", {1000, Note::kFilled}}}, 15,
-       1000);
+  feed(rig,
+       {{"P1", {1000, AnswerDetail::kFilled}},
+        {"P2", {1000, AnswerDetail::kFilled}},
+        {"P3", {1000, AnswerDetail::kFilled}}},
+       15, 1000);
   line += "after 15 good fills, ";
   refused(100);
   check_trace("retry_budget", line);
@@ -345,49 +353,49 @@
 
 TEST_CASE("as the origin fails, parents give what they hold to more and more of the requests") {
   Rig rig(Settings{{"FamilyInfo.Direct", "true"}});
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   std::string line;
-  const auto fetching = [&](const std::string& what, int first, Result result, Note note) {
+  const auto fetching = [&](const std::string& what, int first, Result result, AnswerDetail note) {
     int fetches = 0;
     for (int i = first; i < first + 40; ++i) {
       const std::string id = named("p", i);
       rig.request(id, static_cast<std::uint64_t>(i));
       fetches += rig.held_only_of[id] ? 0 : 1;
       rig.ends(id, 0, result, note, 0.05);
-      if (rig.node_of[id].size() > 1) rig.ends(id, 1, Result::kAbsent, Note::kNone, 0.0);
+      if (rig.node_of[id].size() > 1) rig.ends(id, 1, Result::kAbsent, AnswerDetail::kNone, 0.0);
     }
     line += what + ": parents may fetch for " + std::to_string(fetches) + " of 40\n";
   };
-  fetching("the origin fails", 0, Result::kTurnedAway, Note::kOriginFailed);
-  fetching("still", 100, Result::kTurnedAway, Note::kOriginFailed);
+  fetching("the origin fails", 0, Result::kRejected, AnswerDetail::kOriginFailed);
+  fetching("still", 100, Result::kRejected, AnswerDetail::kOriginFailed);
   rig.after(4);
-  fetching("a calm while later, all goes well", 200, Result::kCompleted, Note::kFilledByOrigin);
-  fetching("and on", 300, Result::kCompleted, Note::kFilledByOrigin);
+  fetching("a calm while later, all goes well", 200, Result::kCompleted, AnswerDetail::kFilledByOrigin);
+  fetching("and on", 300, Result::kCompleted, AnswerDetail::kFilledByOrigin);
   rig.say("a write that the origin turns away asks again after a pause");
   rig.request("w", 900, 2);
-  rig.ends("w", 0, Result::kTurnedAway);
+  rig.ends("w", 0, Result::kRejected);
   rig.run_until(rig.now + 0.2);
   check_trace("origin_part", line + rig.trace.substr(rig.trace.find("-- a write")));
 }
 
 TEST_CASE("a full link thins out fills alike for an object's repeats; a late fill keeps no hit out") {
   Rig rig;
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   rig.request("p0", 1);
   for (int i = 0; i < 6; ++i) {
     rig.after(1);
-    rig.director->attempt_ended(rig.now, {"none"}, {0}, {"c1"}, Result::kCompleted, Note::kHit, 0, 0.1,
-                                {{"x1", 9.0}}, true);
+    rig.director->attempt_ended(rig.now, {"none"}, {0}, {"c1"}, Result::kCompleted, AnswerDetail::kHit, 0,
+                                0.1, {{"x1", 9.0}}, true);
   }
   for (int object = 1; object <= 8; ++object)
     for (int again = 0; again < 2; ++again) rig.request(named("o", object) + named("-", again), object);
   rig.say("c1 alone, its room taken by fills that wait on their source");
   Rig late(Settings{{"Permissions.SecondCopies", "false"}});
-  late.list(ListScope::kCached, "c1 P1 P2 P3 O");
+  late.list(ListCompleteness::kCached, "c1 P1 P2 P3 O");
   int filled = 0;
   for (int i = 0; i < 30; ++i) late.request(named("f", i), static_cast<std::uint64_t>(i));
   for (const auto& [id, nodes] : late.node_of) filled += !nodes.empty();
-  late.ends("f0", 0, Result::kCompleted, Note::kHit, 0.1);
+  late.ends("f0", 0, Result::kCompleted, AnswerDetail::kHit, 0.1);
   late.run_until(late.now + 2.5);
   late.taken();
   late.request("next", 77);
@@ -396,7 +404,7 @@
 
 TEST_CASE("rule 5: purges") {
   Rig rig;
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   rig.director->object_purged(rig.now, {1}, 0.5);
   rig.director->group_purged(rig.now, {2}, 0);
   rig.request("object", 1);
@@ -412,7 +420,7 @@
 
 TEST_CASE("rule 5: a purge that every node has done by now bounds nothing") {
   Rig rig;
-  rig.list(ListScope::kCached, kAll);
+  rig.list(ListCompleteness::kCached, kAll);
   const double done = std::stod(Rig::usual_settings()["FamilyInfo.PurgeDoneS"]) + 1;
   rig.director->object_purged(rig.now, {1}, done + 0.1);
   rig.director->object_purged(rig.now, {2}, done - 0.1);
@@ -424,26 +432,26 @@
 
 TEST_CASE("a silent cache: a second copy elsewhere, and the loser is called off") {
   Rig rig;
-  rig.list(ListScope::kCached, "c1 c2 P1 O");
+  rig.list(ListCompleteness::kCached, "c1 c2 P1 O");
   rig.request("p1", 1);
   rig.run_until(rig.now + 2);
-  rig.ends("p1", 1, Result::kCompleted, Note::kFilled, 0.4);
+  rig.ends("p1", 1, Result::kCompleted, AnswerDetail::kFilled, 0.4);
   check_trace("silent_cache", rig.taken());
 }
 
 TEST_CASE("one broken attempt may be chance, two in a row leave the cache out") {
   Rig rig;
-  rig.list(ListScope::kCached, "c1 c2 P1 O");
+  rig.list(ListCompleteness::kCached, "c1 c2 P1 O");
   rig.request("p1", 1);
   rig.ends("p1", 0, Result::kBroken);
   rig.ends("p1", 1, Result::kBroken);
-  rig.ends("p1", 2, Result::kCompleted, Note::kFilled, 0.4);
+  rig.ends("p1", 2, Result::kCompleted, AnswerDetail::kFilled, 0.4);
   check_trace("broken", rig.taken());
 }
 
 TEST_CASE("settings: no second copies, no parents, list by asking, nothing set") {
   Rig single(Settings{{"Permissions.SecondCopies", "false"}});
-  single.list(ListScope::kCached, "c1 c2 P1 O");
+  single.list(ListCompleteness::kCached, "c1 c2 P1 O");
   single.request("p1", 1);
   single.say(
       "one late says little; the second that nothing is heard of leaves the cache out, and is called off");
@@ -453,14 +461,14 @@
   std::string trace = "no second copies\n" + single.taken();
   Rig flat(
       Settings{{"FamilyInfo.ShieldKind", "-1"}, {"FamilyInfo.PeersFill", "none"}, {"MembershipMode", "ask"}});
-  flat.list(ListScope::kFailed, "");
+  flat.list(ListCompleteness::kFailed, "");
   flat.run_until(flat.now + 1.5);
-  flat.list(ListScope::kFull, "c1 c2 O");
+  flat.list(ListCompleteness::kFull, "c1 c2 O");
   flat.request("p1", 1);
   trace += "no parents, list by asking\n" + flat.taken();
   Rig bare;
   bare.director = std::make_unique<Director>(bare.now, Settings{}, 1, bare);
-  bare.list(ListScope::kCached, "c1");
+  bare.list(ListCompleteness::kCached, "c1");
   bare.request("p1", 1);
   trace += "no settings at all\n" + bare.taken();
   check_trace("settings", trace);
@@ -468,7 +476,7 @@
 
 TEST_CASE("a transfer that is late with most of its slack left is no crowd: rooms stay") {
   Rig rig;
-  rig.list(ListScope::kFull, "c1 P1 O");
+  rig.list(ListCompleteness::kFull, "c1 P1 O");
   for (int i = 0; i < 12; ++i) {
     const Seconds start = rig.now;
     const std::string late = "a" + std::to_string(i);
@@ -476,11 +484,11 @@
     for (const char* quick : {"b", "c"}) {
       const std::string id = quick + std::to_string(i);
       rig.request(id, 2000 + 2 * i + (*quick == 'c'), 0, 2000);
-      rig.ends(id, 0, Result::kCompleted, Note::kFilled, 1.2);
+      rig.ends(id, 0, Result::kCompleted, AnswerDetail::kFilled, 1.2);
     }
     rig.run_until(start + 2.95);
-    rig.director->attempt_ended(rig.now, {late}, {0}, {"c1"}, Result::kCompleted, Note::kFilled, 0.1, 2.95,
-                                {}, true);
+    rig.director->attempt_ended(rig.now, {late}, {0}, {"c1"}, Result::kCompleted, AnswerDetail::kFilled, 0.1,
+                                2.95, {}, true);
   }
   rig.taken();
   for (int i = 0; i < 11; ++i) rig.request("d" + std::to_string(i), 3000 + i, 0, 2000);
@@ -490,17 +498,17 @@
 
 TEST_CASE("nodes that are gone are forgotten, with nothing of them out and their budget past") {
   Rig rig;
-  rig.list(ListScope::kFull, "c0 P1 O");
+  rig.list(ListCompleteness::kFull, "c0 P1 O");
   rig.request("out", 77);
   for (int i = 0; i < 50; ++i) {
-    rig.list(ListScope::kChanges, "c" + std::to_string(i), Readiness::kGone);
-    rig.list(ListScope::kChanges, "c" + std::to_string(i + 1));
+    rig.list(ListCompleteness::kChanges, "c" + std::to_string(i), EndpointState::kGone);
+    rig.list(ListCompleteness::kChanges, "c" + std::to_string(i + 1));
     rig.run_until(rig.now + 5);
   }
   CHECK(rig.director->nodes_known() < 15);  // ten of the last 30 s, and those listed
-  rig.ends("out", 0, Result::kTimedOut, Note::kNone, 0, true);
-  rig.list(ListScope::kChanges, "c0");
-  rig.list(ListScope::kChanges, "c50", Readiness::kGone);
+  rig.ends("out", 0, Result::kTimedOut, AnswerDetail::kNone, 0, true);
+  rig.list(ListCompleteness::kChanges, "c0");
+  rig.list(ListCompleteness::kChanges, "c50", EndpointState::kGone);
   rig.taken();
   for (int i = 0; i < 9; ++i) rig.request("p" + std::to_string(i), 5000 + i);
   check_trace("came_back", rig.taken());  // as one that has just started: no more than its budget
@@ -508,16 +516,16 @@
 
 TEST_CASE("late attempts far from a room's limit tell of delays: rooms stay") {
   Rig rig;
-  rig.list(ListScope::kFull, "c1 P1 O");
+  rig.list(ListCompleteness::kFull, "c1 P1 O");
   for (int i = 0; i < 12; ++i) {
     const Seconds start = rig.now;
     const std::string late = "a" + std::to_string(i), good = "b" + std::to_string(i);
     rig.request(late, 1000 + i, 0, 10);
     rig.after(0.01);
     rig.request(good, 3000 + i, 0, 10);
-    rig.ends(good, 0, Result::kCompleted, Note::kFilled, 0.02);
+    rig.ends(good, 0, Result::kCompleted, AnswerDetail::kFilled, 0.02);
     rig.run_until(start + 1.5);
-    rig.ends(late, 0, Result::kCompleted, Note::kFilled, 0.01);
+    rig.ends(late, 0, Result::kCompleted, AnswerDetail::kFilled, 0.01);
   }
   rig.taken();
   for (int i = 0; i < 11; ++i) rig.request("d" + std::to_string(i), 4000 + i, 0, 10);
@@ -527,9 +535,9 @@
 
 TEST_CASE("a cache that took a home over is filled from the one that held it, then from the parent") {
   Rig rig;
-  rig.list(ListScope::kCached, "c1 c2 P1 P2 P3 O");
+  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 P3 O");
   rig.after(30);
-  rig.list(ListScope::kChanges, "c3", Readiness::kRunning, rig.now);
+  rig.list(ListCompleteness::kChanges, "c3", EndpointState::kRunning, rig.now);
   rig.after(5);
   rig.taken();
   int at_new = 0, from_sibling = 0;
@@ -539,7 +547,7 @@
     const bool sibling = rig.source_of[id][0] == 'c';
     at_new += rig.node_of[id][0] == "c3", from_sibling += sibling && rig.node_of[id][0] == "c3";
     CHECK(sibling == (rig.node_of[id][0] == "c3"));
-    rig.ends(id, 0, Result::kCompleted, sibling ? Note::kFilled : Note::kHit, 0.1);
+    rig.ends(id, 0, Result::kCompleted, sibling ? AnswerDetail::kFilled : AnswerDetail::kHit, 0.1);
   }
   CHECK(at_new > 3);
   CHECK(from_sibling == at_new);
@@ -548,9 +556,9 @@
     rig.taken();
     rig.request("lacks", static_cast<std::uint64_t>(object), 0, 5);
     if (rig.source_of["lacks"][0] != 'c')
-      rig.ends("lacks", 0, Result::kCompleted, Note::kHit, 0.1), rig.node_of.erase("lacks");
+      rig.ends("lacks", 0, Result::kCompleted, AnswerDetail::kHit, 0.1), rig.node_of.erase("lacks");
   }
-  rig.ends("lacks", 0, Result::kAbsent, Note::kSourceLacks, 0.002);
+  rig.ends("lacks", 0, Result::kAbsent, AnswerDetail::kSourceMissed, 0.002);
   CHECK(rig.node_of["lacks"][1] == "c3");
   CHECK(rig.source_of["lacks"][0] == 'P');
 }
@@ -558,11 +566,11 @@
 TEST_CASE("a link a little too full sheds a little, one far too full much; neither swings open at once") {
   const auto filled = [](std::initializer_list<double> reports) {
     Rig rig;
-    rig.list(ListScope::kCached, kAll);
+    rig.list(ListCompleteness::kCached, kAll);
     for (const double fullness : reports) {
       rig.after(1);
-      rig.director->attempt_ended(rig.now, {"none"}, {0}, {"c1"}, Result::kCompleted, Note::kHit, 0, 0.1,
-                                  {{"x1", fullness}}, true);
+      rig.director->attempt_ended(rig.now, {"none"}, {0}, {"c1"}, Result::kCompleted, AnswerDetail::kHit, 0,
+                                  0.1, {{"x1", fullness}}, true);
     }
     rig.request("first", 1000);
     int fills = 0;
@@ -570,7 +578,7 @@
       const std::string id = named("o", object);
       rig.request(id, static_cast<std::uint64_t>(object));
       fills += rig.source_of.contains(id) && rig.source_of[id][0] == 'P';
-      if (!rig.node_of[id].empty()) rig.ends(id, 0, Result::kCompleted, Note::kHit, 0);
+      if (!rig.node_of[id].empty()) rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0);
     }
     return fills;
   };
@@ -586,10 +594,10 @@
 TEST_CASE("an origin whose waits grow is spared before it refuses, and a single refusal cuts nothing") {
   const auto fetches = [](const std::function<void(Rig&)>& before) {
     Rig rig(Settings{{"FamilyInfo.Direct", "true"}});
-    rig.list(ListScope::kCached, kAll);
+    rig.list(ListCompleteness::kCached, kAll);
     for (int i = 0; i < 10; ++i) {
       rig.request(named("usual", i), static_cast<std::uint64_t>(i));
-      rig.ends(named("usual", i), 0, Result::kCompleted, Note::kFilledByOrigin, 0.2);
+      rig.ends(named("usual", i), 0, Result::kCompleted, AnswerDetail::kFilledByOrigin, 0.2);
     }
     before(rig);
     int fetching = 0;
@@ -603,7 +611,7 @@
   const auto waited = [](Rig& rig, Seconds each) {  // a quarter of it for the source
     for (int i = 10; i < 13; ++i) {
       rig.request(named("slow", i), static_cast<std::uint64_t>(i));
-      rig.ends(named("slow", i), 0, Result::kCompleted, Note::kFilledByOrigin, each);
+      rig.ends(named("slow", i), 0, Result::kCompleted, AnswerDetail::kFilledByOrigin, each);
     }
   };
   CHECK(fetches([&](Rig& rig) { waited(rig, 0.4); }) == 40);
@@ -611,7 +619,7 @@
   const auto refused = [](Rig& rig, int times) {
     rig.request("w", 900, 2);
     for (int i = 0; i < times; ++i) {
-      rig.ends("w", i, Result::kTurnedAway);
+      rig.ends("w", i, Result::kRejected);
       rig.run_until(rig.now + 0.2);
     }
   };
@@ -622,14 +630,14 @@
 TEST_CASE("a late fill is tried behind another parent, but not while the origin behind all of them is slow") {
   const auto tries = [](bool origin_fails) {
     Rig rig;
-    rig.list(ListScope::kCached, kAll);
+    rig.list(ListCompleteness::kCached, kAll);
     for (int i = 0; i < 10; ++i) {
       rig.request(named("usual", i), static_cast<std::uint64_t>(i));
-      rig.ends(named("usual", i), 0, Result::kCompleted, Note::kFilled, 0.5);
+      rig.ends(named("usual", i), 0, Result::kCompleted, AnswerDetail::kFilled, 0.5);
     }
     if (origin_fails) {
       rig.request("fails", 50);
-      rig.ends("fails", 0, Result::kTurnedAway, Note::kOriginFailed, 0.01);
+      rig.ends("fails", 0, Result::kRejected, AnswerDetail::kOriginFailed, 0.01);
     }
     for (int i = 60; i < 100; ++i) {  // one that may be filled, and whose cache is heard of meanwhile
       const std::string id = named("p", i);
@@ -642,7 +650,7 @@
         rig.request(other, static_cast<std::uint64_t>(k));
         if (rig.node_of[other].empty()) continue;
         const bool same = rig.node_of[other][0] == cache;
-        rig.ends(other, 0, Result::kCompleted, Note::kHit, 0);
+        rig.ends(other, 0, Result::kCompleted, AnswerDetail::kHit, 0);
         if (same) break;
       }
       rig.run_until(rig.now + 3);
@@ -658,7 +666,7 @@
   // Rounds of one that is late and one that is answered at once; the late one comes after all, or never.
   const auto cancels = [](int rounds, bool comes, bool heard) {
     Rig rig(Settings{{"Permissions.SecondCopies", "false"}});
-    rig.list(ListScope::kCached, "c1 P1 O");
+    rig.list(ListCompleteness::kCached, "c1 P1 O");
     for (int i = 0; i < rounds; ++i) {
       const std::string late = named("late", i), quick = named("quick", i);
       rig.request(late, static_cast<std::uint64_t>(i));
@@ -666,10 +674,10 @@
       if (rig.node_of[late].empty()) continue;
       rig.after(0.01);
       rig.request(quick, static_cast<std::uint64_t>(100 + i));
-      if (heard) rig.ends(quick, 0, Result::kCompleted, Note::kFilled, 0.4);
+      if (heard) rig.ends(quick, 0, Result::kCompleted, AnswerDetail::kFilled, 0.4);
       rig.run_until(start + (comes ? 0.85 : 4));
       rig.director->attempt_ended(rig.now, {late}, {0}, {"c1"},
-                                  comes ? Result::kCompleted : Result::kTimedOut, Note::kFilled, 0.1,
+                                  comes ? Result::kCompleted : Result::kTimedOut, AnswerDetail::kFilled, 0.1,
                                   rig.now - start, {}, true);
     }
     const std::string trace = rig.taken();
@@ -687,17 +695,17 @@
     "late fills whose cache and parent are heard, and late writes, cut the origin's part; silence does not") {
   const auto fetches = [](const std::function<void(Rig&)>& late) {
     Rig rig(Settings{{"FamilyInfo.Direct", "true"}});
-    rig.list(ListScope::kCached, "c1 P1 O");
+    rig.list(ListCompleteness::kCached, "c1 P1 O");
     for (int i = 0; i < 10; ++i) {
       rig.request(named("usual", i), static_cast<std::uint64_t>(i));
-      rig.ends(named("usual", i), 0, Result::kCompleted, Note::kFilled, 0.4);
+      rig.ends(named("usual", i), 0, Result::kCompleted, AnswerDetail::kFilled, 0.4);
     }
     late(rig);
     int fetching = 0;
     for (int i = 100; i < 140; ++i) {
       rig.request(named("p", i), static_cast<std::uint64_t>(i));
       fetching += !rig.node_of[named("p", i)].empty() && !rig.held_only_of[named("p", i)];
-      rig.ends(named("p", i), 0, Result::kCompleted, Note::kHit, 0);
+      rig.ends(named("p", i), 0, Result::kCompleted, AnswerDetail::kHit, 0);
     }
     return fetching;
   };
@@ -706,7 +714,7 @@
       rig.request("late", 50, 0, size_kb);
       rig.after(0.01);
       rig.request("other", 51);
-      if (heard) rig.ends("other", 0, Result::kCompleted, Note::kFilled, 0.4);
+      if (heard) rig.ends("other", 0, Result::kCompleted, AnswerDetail::kFilled, 0.4);
       rig.run_until(rig.now + 1.2);
     };
   };
@@ -717,14 +725,14 @@
   CHECK(fetches([](Rig& rig) {            // one late write among many answers in good time is chance
           for (int i = 200; i < 240; ++i) {
             rig.request(named("good", i), static_cast<std::uint64_t>(i));
-            rig.ends(named("good", i), 0, Result::kCompleted, Note::kFilledByOrigin, 0.1);
+            rig.ends(named("good", i), 0, Result::kCompleted, AnswerDetail::kFilledByOrigin, 0.1);
           }
           rig.request("w", 900, 2), rig.run_until(rig.now + 1.5);
         }) > 36);
   CHECK(fetches([&](Rig& rig) {  // no longer than is usual at the origin
           rig.request("usual-wait", 30);
           rig.director->attempt_ended(rig.now, {"usual-wait"}, {0}, {"c1"}, Result::kCompleted,
-                                      Note::kFilledByOrigin, 2.0, 0.4, {}, true);
+                                      AnswerDetail::kFilledByOrigin, 2.0, 0.4, {}, true);
           fill(true)(rig);
         }) == 40);
   // Once the origin is in trouble, silence past the contract time is laid to it where no news were due.
@@ -732,11 +740,11 @@
     return [late, without_news](Rig& rig) {
       rig.after(without_news);
       rig.request("fails", 40);
-      rig.ends("fails", 0, Result::kTurnedAway, Note::kOriginFailed, 0.01);
+      rig.ends("fails", 0, Result::kRejected, AnswerDetail::kOriginFailed, 0.01);
       rig.after(0.1);
       const Seconds end = rig.now + 1.2;
       rig.request("late", 50, 0, 50);
-      if (!late) rig.ends("late", 0, Result::kCompleted, Note::kHit, 0.05);
+      if (!late) rig.ends("late", 0, Result::kCompleted, AnswerDetail::kHit, 0.05);
       rig.run_until(end);
     };
   };
@@ -748,10 +756,10 @@
     "rule 2: a fingerprinted request's repeat ends while repeats are dropped, and so may its client's") {
   const auto after_errors = [](Seconds first, Seconds second) {
     Rig rig(Settings{{"RequestClasses.3.Group", "all"}, {"Permissions.MaxAttempts", "2"}});
-    rig.list(ListScope::kCached, "c1 P1 O");
+    rig.list(ListCompleteness::kCached, "c1 P1 O");
     rig.request("f", 1, 3);
-    rig.ends("f", 0, Result::kError, Note::kNone, first);
-    if (rig.node_of["f"].size() > 1) rig.ends("f", 1, Result::kError, Note::kNone, second);
+    rig.ends("f", 0, Result::kError, AnswerDetail::kNone, first);
+    if (rig.node_of["f"].size() > 1) rig.ends("f", 1, Result::kError, AnswerDetail::kNone, second);
     return rig.taken();
   };
   // A window of 2 s; an attempt is expected to take 0.675 s, a client is sent away for 1 s at most.
@@ -767,7 +775,7 @@
 TEST_CASE("where no report tells of the link, fills far slower than hits thin out fills") {
   const auto fills = [](Seconds fill, bool told) {
     Rig rig;
-    rig.list(ListScope::kCached, "c1 P1 P2 O");
+    rig.list(ListCompleteness::kCached, "c1 P1 P2 O");
     for (int i = 0; i < 40; ++i) {  // fewer than a fill's time apart: no room is in question
       const std::string id = named("before", i);
       rig.request(id, static_cast<std::uint64_t>(i));
@@ -775,7 +783,7 @@
       const bool hit = i % 2 == 0;
       rig.now += hit ? 0.5 : fill;
       rig.director->attempt_ended(rig.now, {id}, {0}, {"c1"}, Result::kCompleted,
-                                  hit ? Note::kHit : Note::kFilled, 0, hit ? 0.5 : fill,
+                                  hit ? AnswerDetail::kHit : AnswerDetail::kFilled, 0, hit ? 0.5 : fill,
                                   told ? LoadReport{{"x1", 0.5}} : LoadReport{}, true);
     }
     int filling = 0;
@@ -783,7 +791,7 @@
       const std::string id = named("p", i);
       rig.request(id, static_cast<std::uint64_t>(i));
       filling += !rig.node_of[id].empty() && rig.source_of[id] != rig.node_of[id][0];
-      if (!rig.node_of[id].empty()) rig.ends(id, 0, Result::kCompleted, Note::kHit, 0.0);
+      if (!rig.node_of[id].empty()) rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.0);
     }
     return filling;
   };
@@ -793,21 +801,21 @@
   CHECK(fills(2.0, true) == 40);  // the report goes before it
   // One cache that is slow with its hits as with its fills, among quick ones, is no full link.
   Rig rig;
-  rig.list(ListScope::kCached, "c1 c2 P1 P2 O");
+  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 O");
   int slow = 0, filling = 0;
   for (int i = 0; i < 60; ++i) {
     const std::string id = named("before", i);
     rig.request(id, static_cast<std::uint64_t>(i));
     if (rig.node_of[id].empty()) continue;
     const bool hit = rig.node_of[id][0] == "c2" || ++slow <= 2;
-    rig.ends(id, 0, Result::kCompleted, hit ? Note::kHit : Note::kFilled,
+    rig.ends(id, 0, Result::kCompleted, hit ? AnswerDetail::kHit : AnswerDetail::kFilled,
              rig.node_of[id][0] == "c2" ? 0.5 : 3);
   }
   for (int i = 100; i < 140; ++i) {
     const std::string id = named("p", i);
     rig.request(id, static_cast<std::uint64_t>(i));
     filling += rig.source_of[id][0] == 'P';
-    if (!rig.node_of[id].empty()) rig.ends(id, 0, Result::kCompleted, Note::kHit, 0.0);
+    if (!rig.node_of[id].empty()) rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.0);
   }
   CHECK(slow > 6);
   CHECK(filling == 40);
@@ -815,16 +823,16 @@
 
 TEST_CASE("a node that was left out is in again once the list tells of a later start") {
   Rig rig;
-  rig.list(ListScope::kCached, "c1 P1 O");
+  rig.list(ListCompleteness::kCached, "c1 P1 O");
   rig.request("dead", 1);
   rig.ends("dead", 0, Result::kUnreachable);
   rig.request("refused", 2);
   rig.say("an older start changes nothing");
-  rig.list(ListScope::kChanges, "c1", Readiness::kRunning, 99);
+  rig.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, 99);
   rig.request("still", 3);
   rig.after(0.1);
   rig.say("a later one does");
-  rig.list(ListScope::kChanges, "c1", Readiness::kRunning, rig.now);
+  rig.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, rig.now);
   rig.request("taken", 4, 0, 50);
   check_trace("later_start", rig.taken());
 }
--- a/tests/policy/shutdown_test.cpp
+++ b/tests/policy/shutdown_test.cpp
@@ -12,7 +12,7 @@
 
 TEST_CASE("at the director's end what may be repeated or never ran is rejected, what may have run fails") {
   Rig rig;
-  rig.list(ListScope::kFull, "c1 c2 P1 O");
+  rig.list(ListCompleteness::kFull, "c1 c2 P1 O");
   rig.request("read", 1, kRetryable);
   rig.request("write", 2, kWrite);
   rig.director->deadlines_end(rig.now, kEnd);
@@ -30,7 +30,7 @@
 
 TEST_CASE("a request that comes later is held to the same end; a write that never ran is rejected") {
   Rig rig;
-  rig.list(ListScope::kFull, "c1 c2 P1 O");
+  rig.list(ListCompleteness::kFull, "c1 c2 P1 O");
   rig.director->deadlines_end(rig.now, kEnd);
   rig.after(0.5);
   rig.request("late", 1, kRetryable);
@@ -42,13 +42,13 @@
 
 TEST_CASE("a deadline before the director's end is as it was") {
   Rig rig;
-  rig.list(ListScope::kFull, "c1 c2 P1 O");
+  rig.list(ListCompleteness::kFull, "c1 c2 P1 O");
   rig.request("read", 1, kRetryable);  // by 105
   rig.director->deadlines_end(rig.now, 106);
   rig.run_until(104.9);
   CHECK_FALSE(says(rig.taken(), "forfeit"));
   rig.after(0.1);
-  rig.ends("read", 0, Result::kTimedOut, Note::kNone, 0);
+  rig.ends("read", 0, Result::kTimedOut, AnswerDetail::kNone, 0);
   CHECK(says(rig.taken(), "read: forfeit"));
   rig.run_until(106);
   CHECK_FALSE(says(rig.taken(), "read: bounce"));
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -68,7 +68,7 @@
   void probe(const NodeId&) override {}
   void follow_list() override {}
   void log(const std::string&) override {}
-  void ended(const RequestId& request, int number, const NodeId& node, Result result, Note note,
+  void ended(const RequestId& request, int number, const NodeId& node, Result result, AnswerDetail note,
              Seconds sent);
 
   std::set<std::string> open;
@@ -152,25 +152,27 @@
   void start(int place) {
     ++lives_[place];
     hosts_[place] = std::make_unique<Host>(*this, place, lives_[place]);
-    tell(place, ListScope::kFull, Readiness::kRunning, {"c1", "c2", "c3", "P1", "P2", "O"});
+    tell(place, ListCompleteness::kFull, EndpointState::kRunning, {"c1", "c2", "c3", "P1", "P2", "O"});
   }
-  void tell(int place, ListScope scope, Readiness readiness, const std::vector<std::string>& ids) {
+  void tell(int place, ListCompleteness scope, EndpointState endpoint_state,
+            const std::vector<std::string>& ids) {
     Director& director = *hosts_[place]->director;
     director.list_starts(now, scope);
     for (const std::string& id : ids) {
       const int kind = id[0] == 'P' ? 1 : id[0] == 'O' ? 2 : 0;
-      director.list_entry(now, {id}, {kind == 0 ? 2 : 0}, {kind}, {1}, readiness, nodes_.at(id).weight,
+      director.list_entry(now, {id}, {kind == 0 ? 2 : 0}, {kind}, {1}, endpoint_state, nodes_.at(id).weight,
                           plan_.away > 0 ? 0 : nodes_.at(id).launched);
     }
     director.list_ends(now);
   }
-  void tell_all(Readiness readiness) {
+  void tell_all(EndpointState endpoint_state) {
     for (int d = 0; d < plan_.directors; ++d)
-      later(d, now + draw(0.001, 0.03), [=, this] { tell(d, ListScope::kChanges, readiness, kObserved); });
+      later(d, now + draw(0.001, 0.03),
+            [=, this] { tell(d, ListCompleteness::kChanges, endpoint_state, kObserved); });
   }
   void stop_observed() {
     for (const auto& id : kObserved) nodes_.at(id).up = false;
-    if (plan_.away <= 0) tell_all(Readiness::kGone);
+    if (plan_.away <= 0) tell_all(EndpointState::kGone);
   }
   void start_observed() {
     for (const auto& id : kObserved) {
@@ -178,7 +180,7 @@
       node.up = true, node.launched = now;
       node.calls.clear();
     }
-    if (plan_.away <= 0) tell_all(Readiness::kRunning);
+    if (plan_.away <= 0) tell_all(EndpointState::kRunning);
   }
   void plan_faults() {
     run_at(kStart - std::max(plan_.away, 0.5), [this] { stop_observed(); });
@@ -188,7 +190,7 @@
       run_at(kStart + 1.6, [this] { start_observed(); });
     }
     for (int i = 0; plan_.entries_repeat && i < 20; ++i)
-      run_at(kStart + 0.1 + 0.3 * i, [this] { tell_all(Readiness::kRunning); });
+      run_at(kStart + 0.1 + 0.3 * i, [this] { tell_all(EndpointState::kRunning); });
     // At the worst moment: shares have just been sent, and are sent again and again before a span is over.
     for (int i = 0; i < plan_.restarts; ++i)
       run_at(kStart + 0.5 + 0.4 * i, [this] {
@@ -223,22 +225,22 @@
     node.worst = std::max(node.worst, static_cast<double>(node.calls.size()) / most);
   }
   // What comes of a call to a cache and, where it lacks the object, of the fill.
-  std::pair<Result, Note> call(const std::string& id, const std::string& source) {
+  std::pair<Result, AnswerDetail> call(const std::string& id, const std::string& source) {
     NodeState& node = nodes_.at(id);
-    if (!node.up) return {Result::kUnreachable, Note::kNone};
-    if (id[0] == 'O') return {Result::kCompleted, Note::kHit};
+    if (!node.up) return {Result::kUnreachable, AnswerDetail::kNone};
+    if (id[0] == 'O') return {Result::kCompleted, AnswerDetail::kHit};
     count(id);
-    if (chance() < 0.1) return {Result::kTurnedAway, Note::kNone};
-    if (source == id) return {Result::kAbsent, Note::kNone};
+    if (chance() < 0.1) return {Result::kRejected, AnswerDetail::kNone};
+    if (source == id) return {Result::kAbsent, AnswerDetail::kNone};
     const bool tells_notes = std::string(plan_.tells) != "none";
     if (chance() < plan_.hits) {
       if (plan_.renews) count(source);
-      return {Result::kCompleted, tells_notes ? Note::kHit : Note::kNone};
+      return {Result::kCompleted, tells_notes ? AnswerDetail::kHit : AnswerDetail::kNone};
     }
-    if (!nodes_.at(source).up) return {Result::kError, Note::kSourceLost};
+    if (!nodes_.at(source).up) return {Result::kError, AnswerDetail::kSourceLost};
     count(source);
-    if (source[0] == 'c' && chance() < 0.5) return {Result::kAbsent, Note::kSourceLacks};
-    return {Result::kCompleted, tells_notes ? Note::kFilled : Note::kNone};
+    if (source[0] == 'c' && chance() < 0.5) return {Result::kAbsent, AnswerDetail::kSourceMissed};
+    return {Result::kCompleted, tells_notes ? AnswerDetail::kFilled : AnswerDetail::kNone};
   }
 
   const std::vector<std::string> kObserved = {"c1", "c2", "P1"};
@@ -263,7 +265,7 @@
 void Host::wake(Seconds at, const TimerToken& token) {
   fleet_.later(place_, at, [this, token] { director->woken(fleet_.now, token); });
 }
-void Host::ended(const RequestId& request, int number, const NodeId& node, Result result, Note note,
+void Host::ended(const RequestId& request, int number, const NodeId& node, Result result, AnswerDetail note,
                  Seconds sent) {
   const bool was_open = open.contains(request.value);
   if (result == Result::kCompleted) open.erase(request.value);
@@ -310,9 +312,9 @@
 TEST_CASE("slow start: a director that restarts does not send its share again") {
   Rig rig;
   rig.after(1);
-  rig.list(ListScope::kCached, "c1 P1 O");
+  rig.list(ListCompleteness::kCached, "c1 P1 O");
   const Seconds launched = rig.now;
-  rig.list(ListScope::kChanges, "c1", Readiness::kRunning, launched);
+  rig.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, launched);
   int request = 0;
   const auto calls_within = [&](Seconds time) {
     int calls = 0;
@@ -321,7 +323,7 @@
       rig.request(id, static_cast<std::uint64_t>(request));
       for (std::size_t n = 0; n < rig.node_of[id].size(); ++n) {
         calls += rig.node_of[id][n] == "c1";
-        rig.ends(id, static_cast<int>(n), Result::kCompleted, Note::kHit, 0.02);
+        rig.ends(id, static_cast<int>(n), Result::kCompleted, AnswerDetail::kHit, 0.02);
       }
       rig.after(0.01);
     }
@@ -329,16 +331,16 @@
   };
   CHECK(calls_within(1) > 0);
   rig.director = std::make_unique<Director>(rig.now, Rig::usual_settings(), 8, rig);
-  rig.list(ListScope::kFull, "c1", Readiness::kRunning, launched);
-  rig.list(ListScope::kChanges, "P1 O");
+  rig.list(ListCompleteness::kFull, "c1", EndpointState::kRunning, launched);
+  rig.list(ListCompleteness::kChanges, "P1 O");
   CHECK(calls_within(kSpan) == 0);
   CHECK(calls_within(1) > 0);
   // What starts later had nothing from it before.
   rig.director = std::make_unique<Director>(rig.now, Rig::usual_settings(), 9, rig);
-  rig.list(ListScope::kFull, "c1", Readiness::kRunning, launched);
-  rig.list(ListScope::kChanges, "P1 O");
+  rig.list(ListCompleteness::kFull, "c1", EndpointState::kRunning, launched);
+  rig.list(ListCompleteness::kChanges, "P1 O");
   rig.after(0.3);
-  rig.list(ListScope::kChanges, "c1", Readiness::kRunning, rig.now);
+  rig.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, rig.now);
   CHECK(calls_within(1) > 0);
 }
 
@@ -349,12 +351,12 @@
     rig.after(10);
     const Seconds began = rig.now;
     rig.director = std::make_unique<Director>(began, Rig::usual_settings(), 8, rig);
-    rig.list(ListScope::kFull, "P1 O");
+    rig.list(ListCompleteness::kFull, "P1 O");
     rig.after(0.5);
     // The ramp counts from when the start was heard of; whether the share may be spent, by the list's stamp.
     const Seconds stamped = after_the_director ? began + 0.1 : began - 1;
-    rig.director->list_starts(rig.now, ListScope::kChanges);
-    rig.director->list_entry(rig.now, {"c1"}, {2}, {0}, {1}, Readiness::kRunning, 6, rig.now, stamped);
+    rig.director->list_starts(rig.now, ListCompleteness::kChanges);
+    rig.director->list_entry(rig.now, {"c1"}, {2}, {0}, {1}, EndpointState::kRunning, 6, rig.now, stamped);
     rig.director->list_ends(rig.now);
     rig.request("1", 1);
     CHECK(std::count(rig.node_of["1"].begin(), rig.node_of["1"].end(), "c1") == (after_the_director ? 1 : 0));
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -63,7 +63,7 @@
 struct AnswerTrace : AnswerHandler {
   std::string words;
   void unknown_field(std::string_view name) override { words += "unknown " + std::string(name) + ": "; }
-  void answer(std::string_view request, Result result, Note note, Seconds waited, bool same,
+  void answer(std::string_view request, Result result, AnswerDetail note, Seconds waited, bool same,
               std::string_view tag, const LoadReport& report, std::string_view body) override {
     words += std::string(request) + " result " + std::to_string(static_cast<int>(result)) + " note " +
              std::to_string(static_cast<int>(note)) + " waited " + Rig::text(waited);
@@ -214,10 +214,10 @@
   std::string words;
   void list_starts(bool whole) override { words += whole ? "whole list\n" : "changes\n"; }
   void list_entry(const NodeId& node, const std::string& address, const std::string& zone,
-                  const std::string& kind, CellIndex cell, Readiness readiness, double weight,
+                  const std::string& kind, CellIndex cell, EndpointState endpoint_state, double weight,
                   double started) override {
     words += " " + node.value + " " + address + " " + zone + " " + kind + " cell " +
-             std::to_string(cell.value) + " state " + std::to_string(static_cast<int>(readiness)) +
+             std::to_string(cell.value) + " state " + std::to_string(static_cast<int>(endpoint_state)) +
              " weight " + Rig::text(weight) + " started " + Rig::text(started) + "\n";
   }
   void list_ends() override { words += "end of list\n"; }
--- a/tests/routing/ends.hpp
+++ b/tests/routing/ends.hpp
@@ -27,7 +27,7 @@
     forwarded_request->lane = "segment", forwarded_request->name = request, forwarded_request->body = body;
     peer->attempt({request}, {0}, forwarded_request, {.source = {"c1"}}, transport::Scheduler::now() + 15);
   }
-  void ended(const RequestId&, AttemptNumber, const NodeId&, Result result, Note, Seconds, LoadReport,
+  void ended(const RequestId&, AttemptNumber, const NodeId&, Result result, AnswerDetail, Seconds, LoadReport,
              Content content) override {
     results.push_back(result);
     contents += content.bytes;
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -101,18 +101,18 @@
 
 TEST_CASE("failures of our own: tried again after pauses, at the same node, which is not to blame") {
   Rig rig;
-  rig.list(ListScope::kFull, "c1 P1 O");
+  rig.list(ListCompleteness::kFull, "c1 P1 O");
   for (const int grade : {0, 2}) {  // a read, and a binding write: it never ran
     const std::string request = "p" + std::to_string(grade);
     rig.request(request, 7, grade);
     for (int number = 0; number < 7; ++number) {
       REQUIRE(rig.node_of[request].size() == static_cast<std::size_t>(number) + 1);
-      rig.ends(request, number, Result::kLocalFailure, Note::kNone, 0);
+      rig.ends(request, number, Result::kLocalFailure, AnswerDetail::kNone, 0);
       CHECK(rig.node_of[request].size() == static_cast<std::size_t>(number) + 1);
       rig.run_until(rig.now + 0.02 * (1 << number) + 0.001);
     }
     rig.taken();
-    rig.ends(request, 7, Result::kLocalFailure, Note::kNone, 0);
+    rig.ends(request, 7, Result::kLocalFailure, AnswerDetail::kNone, 0);
     CHECK(rig.taken().find(request + ": bounce") != std::string::npos);
     for (const std::string& node : rig.node_of[request]) CHECK(node == "c1");
   }
--- a/tests/routing/upstream_node_test.cpp
+++ b/tests/routing/upstream_node_test.cpp
@@ -33,8 +33,8 @@
                   Scheduler::now() + wait);
     return forwarded_request;
   }
-  void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result, Note, Seconds,
-             LoadReport, Content content) override {
+  void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result, AnswerDetail,
+             Seconds, LoadReport, Content content) override {
     trace += request.value + "/" + std::to_string(number.value) + " at " + node.value + ": " +
              kResults[static_cast<int>(result)];
     if (!content.bytes.empty()) trace += " '" + content.bytes + "'";
