--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -136,7 +136,7 @@
                                                 {"absent", Result::kAbsent}};
 const std::map<std::string, EndpointState> kEndpointStates = {{"Running", EndpointState::kRunning},
                                                               {"Stopping", EndpointState::kDraining},
-                                                              {"Deleted", EndpointState::kGone}};
+                                                              {"Deleted", EndpointState::kRemoved}};
 const std::map<std::string, ListCompleteness> kScopes = {{"delta", ListCompleteness::kChanges},
                                                          {"full", ListCompleteness::kFull},
                                                          {"cached", ListCompleteness::kCached},
--- a/src/lab/world/judge.cpp
+++ b/src/lab/world/judge.cpp
@@ -64,7 +64,7 @@
     auto& entry = nodes_[node];
     entry.zone = zone.value, entry.kind = kind.value;
     entry.usable = endpoint_state == EndpointState::kRunning;
-    if (endpoint_state == EndpointState::kGone) nodes_.erase(node);
+    if (endpoint_state == EndpointState::kRemoved) nodes_.erase(node);
   }
   void list_ends(Seconds) override {}
 
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1174,7 +1174,7 @@
   const int n = m.index_of(node);
   const bool newly = !m.listed[n] && m.scope == ListCompleteness::kChanges;
   m.zone[n] = zone.value, m.kind[n] = kind.value, m.cell[n] = cell.value, m.weight[n] = weight;
-  m.listed[n] = m.fresh[n] = endpoint_state != EndpointState::kGone;
+  m.listed[n] = m.fresh[n] = endpoint_state != EndpointState::kRemoved;
   m.running[n] = endpoint_state == EndpointState::kRunning;
   m.sort_out_kinds();
   if (m.room[n] <= 0) m.room[n] = m.first_room(n);
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -59,7 +59,7 @@
   kNoFillCapacity,
   kOriginFailed
 };
-enum class EndpointState { kRunning, kDraining, kGone };
+enum class EndpointState { kRunning, kDraining, kRemoved };
 enum class ListCompleteness { kChanges, kFull, kCached, kFailed };
 
 // How a miss is filled and what is kept of it.
--- a/src/protocol/events.cpp
+++ b/src/protocol/events.cpp
@@ -22,7 +22,7 @@
 
 const std::map<std::string, EndpointState> kStates = {{"active", EndpointState::kRunning},
                                                       {"leaving", EndpointState::kDraining},
-                                                      {"left", EndpointState::kGone}};
+                                                      {"left", EndpointState::kRemoved}};
 }  // namespace
 
 bool EventParser::feed(std::string_view piece, EventHandler& handler) {
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -34,15 +34,15 @@
                   const std::string& kind, CellIndex cell, EndpointState endpoint_state, double weight,
                   double started_unix_ms) override {
     const auto place = transport::Address::parse(address);
-    if (endpoint_state != EndpointState::kGone && !place) return skipped("the address '" + address + "'");
-    if (endpoint_state == EndpointState::kGone) {
+    if (endpoint_state != EndpointState::kRemoved && !place) return skipped("the address '" + address + "'");
+    if (endpoint_state == EndpointState::kRemoved) {
       retire(node);
     } else {
       listed_.insert(node);
       connect(node, *place, kind);
     }
     // The director's clock is near Unix time by a base that was fixed at its start: later steps move nothing.
-    const Seconds started = endpoint_state == EndpointState::kGone
+    const Seconds started = endpoint_state == EndpointState::kRemoved
                                 ? 0
                                 : module_.start_times_.started(now(), node, started_unix_ms / 1000);
     module_.director_->list_entry(now(), node, {index(module_.names_.zones, zone)},
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -171,7 +171,7 @@
   rig.ends("p1", 1, Result::kRejected, AnswerDetail::kSourceRejected);
   rig.ends("p1", 2, Result::kCompleted, AnswerDetail::kHit);
   rig.say("both are gone from the list");
-  rig.list(ListCompleteness::kChanges, "P1 P2", EndpointState::kGone);
+  rig.list(ListCompleteness::kChanges, "P1 P2", EndpointState::kRemoved);
   rig.request("p2", 2);
   check_trace("origin_last", rig.taken());
 }
@@ -501,14 +501,14 @@
   rig.list(ListCompleteness::kFull, "c0 P1 O");
   rig.request("out", 77);
   for (int i = 0; i < 50; ++i) {
-    rig.list(ListCompleteness::kChanges, "c" + std::to_string(i), EndpointState::kGone);
+    rig.list(ListCompleteness::kChanges, "c" + std::to_string(i), EndpointState::kRemoved);
     rig.list(ListCompleteness::kChanges, "c" + std::to_string(i + 1));
     rig.run_until(rig.now + 5);
   }
   CHECK(rig.director->nodes_known() < 15);  // ten of the last 30 s, and those listed
   rig.ends("out", 0, Result::kTimedOut, AnswerDetail::kNone, 0, true);
   rig.list(ListCompleteness::kChanges, "c0");
-  rig.list(ListCompleteness::kChanges, "c50", EndpointState::kGone);
+  rig.list(ListCompleteness::kChanges, "c50", EndpointState::kRemoved);
   rig.taken();
   for (int i = 0; i < 9; ++i) rig.request("p" + std::to_string(i), 5000 + i);
   check_trace("came_back", rig.taken());  // as one that has just started: no more than its budget
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -172,7 +172,7 @@
   }
   void stop_observed() {
     for (const auto& id : kObserved) nodes_.at(id).up = false;
-    if (plan_.away <= 0) tell_all(EndpointState::kGone);
+    if (plan_.away <= 0) tell_all(EndpointState::kRemoved);
   }
   void start_observed() {
     for (const auto& id : kObserved) {
