--- a/benchmarks/flow_benchmark.cpp
+++ b/benchmarks/flow_benchmark.cpp
@@ -21,9 +21,9 @@
   void record(const Record& record) override { records += record.requests + 1; }
 };
 
-Label grade(std::uint32_t number) {
+Label request_class(std::uint32_t number) {
   Label label;
-  label.grade = {number};
+  label.request_class = {number};
   return label;
 }
 
@@ -33,7 +33,7 @@
     for (std::size_t i = 0; i < flows / 4; ++i) {
       const auto made = *table.opened(0, {});
       for (std::uint32_t label = 0; label < 4; ++label)
-        table.moved(0, made, grade(label), ipfix::kForward, 100);
+        table.moved(0, made, request_class(label), ipfix::kForward, 100);
     }
   }
   Quiet quiet;
@@ -51,7 +51,7 @@
   double now = 1;
   for (auto _ : state) {
     const ConnectionNumber at{static_cast<std::uint32_t>(chance() % (flows / 4))};
-    full.table.moved(now += 1e-6, at, grade(chance() % 4), ipfix::kReverse, 1000);
+    full.table.moved(now += 1e-6, at, request_class(chance() % 4), ipfix::kReverse, 1000);
   }
   state.counters["bytes_a_flow"] = static_cast<double>(bytes) / static_cast<double>(flows);
 }
@@ -65,7 +65,7 @@
   double now = 1;
   for (auto _ : state) {
     const ConnectionNumber at{static_cast<std::uint32_t>(chance() % 1000 * (flows / 4 / 1000))};
-    full.table.moved(now += 1e-6, at, grade(chance() % 4), ipfix::kReverse, 1000);
+    full.table.moved(now += 1e-6, at, request_class(chance() % 4), ipfix::kReverse, 1000);
   }
 }
 BENCHMARK(book_busy)->Arg(10000)->Arg(100000)->Arg(1000000);
@@ -84,7 +84,7 @@
       now += 1;
       for (std::uint32_t i = 0; i < flows / 4; ++i)
         for (std::uint32_t label = 0; label < 4; ++label)
-          full.table.moved(now, {i}, grade(label), ipfix::kReverse, 10);
+          full.table.moved(now, {i}, request_class(label), ipfix::kReverse, 10);
       now += 1;
       left = flows;
       state.ResumeTiming();
@@ -102,7 +102,7 @@
   double now = 1;
   std::uint32_t label = 100, at = 0;
   for (auto _ : state) {
-    full.table.moved(now += 1e-6, {at}, grade(label++), ipfix::kForward, 10);
+    full.table.moved(now += 1e-6, {at}, request_class(label++), ipfix::kForward, 10);
     at = (at + 7) % static_cast<std::uint32_t>(flows / 4);
   }
 }
@@ -142,7 +142,8 @@
   const auto tell_nobody = [](ipfix::NameKind, ipfix::NameNumber, const std::string&) {};
   double now = 0;
   for (auto _ : state)
-    benchmark::DoNotOptimize(names.number(now += 1e-6, ipfix::NameKind::kGrade, "scan-batches", tell_nobody));
+    benchmark::DoNotOptimize(
+        names.number(now += 1e-6, ipfix::NameKind::kRequestClass, "scan-batches", tell_nobody));
 }
 BENCHMARK(name);
 
--- a/experiments/flow_export.cpp
+++ b/experiments/flow_export.cpp
@@ -122,10 +122,10 @@
       throw std::runtime_error("the director does not start: " + director.printed());
     std::vector<std::unique_ptr<rig::Client>> clients;
     for (std::uint64_t i = 0; i < 64; ++i) {
-      const char* grade = i % 8 == 0 ? "clip" : i % 8 == 1 ? "note" : "segment";
+      const char* request_class = i % 8 == 0 ? "clip" : i % 8 == 1 ? "note" : "segment";
       clients.push_back(std::make_unique<rig::Client>(scheduler, listen,
-                                                      *transport::Address::parse("127.0.0.2:0"), grade,
-                                                      i % 8 == 1, rig::Reading{}, i));
+                                                      *transport::Address::parse("127.0.0.2:0"),
+                                                      request_class, i % 8 == 1, rig::Reading{}, i));
     }
     std::uint64_t turned_off = 0;
     scheduler.spawn(offer(scheduler, clients, rate, Scheduler::now() + seconds, seed, turned_off));
--- a/experiments/rig/world.cpp
+++ b/experiments/rig/world.cpp
@@ -100,12 +100,12 @@
   std::from_chars(first.data(), first.data() + first.size(), status);
 }
 
-Client::Client(Scheduler& scheduler, transport::Address director, transport::Address from, std::string grade,
-               bool write, Reading reading, std::uint64_t number)
+Client::Client(Scheduler& scheduler, transport::Address director, transport::Address from,
+               std::string request_class, bool write, Reading reading, std::uint64_t number)
     : scheduler_(scheduler),
       director_(director),
       from_(from),
-      grade_(std::move(grade)),
+      request_class_(std::move(request_class)),
       write_(write),
       reading_(reading),
       number_(number) {}
@@ -140,7 +140,7 @@
   const std::string request = fmt::format(
       "{} /invoke/{}/{:x}/block-0 HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {:08x}{:08x}\r\nX-Deadline-Ms: "
       "10000\r\n{}\r\n{}",
-      write_ ? "PUT" : "GET", grade_, 1000 + number_ % 50, number_, asked_++,
+      write_ ? "PUT" : "GET", request_class_, 1000 + number_ % 50, number_, asked_++,
       write_ ? fmt::format("Content-Length: {}\r\n", body.size()) : "", body);
   const auto out = co_await socket_.write(request, Scheduler::now() + 10);
   tally_.octets.sent += out.bytes;
--- a/experiments/rig/world.hpp
+++ b/experiments/rig/world.hpp
@@ -85,7 +85,7 @@
 class Client {
  public:
   Client(transport::Scheduler& scheduler, transport::Address director, transport::Address from,
-         std::string grade, bool write, Reading reading, std::uint64_t number);
+         std::string request_class, bool write, Reading reading, std::uint64_t number);
   // So many requests with a pause between; leaves: resets the connection in the middle of the last answer.
   void start(std::uint64_t requests, double pause, bool leaves = false);
   // One request, timed from when it was due; for open loads.
@@ -110,7 +110,7 @@
 
   transport::Scheduler& scheduler_;
   transport::Address director_, from_;
-  std::string grade_;
+  std::string request_class_;
   bool write_;
   Reading reading_;
   std::uint64_t number_, asked_ = 0;
--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -295,8 +295,8 @@
                        });
 }
 
-NameNumber Exporter::grade(const std::string& name_of_grade) {
-  return name(ipfix::NameKind::kGrade, name_of_grade);
+NameNumber Exporter::request_class(const std::string& request_class_name) {
+  return name(ipfix::NameKind::kRequestClass, request_class_name);
 }
 
 NameNumber Exporter::depot_of(int descriptor) {
--- a/src/flow/exporter.hpp
+++ b/src/flow/exporter.hpp
@@ -48,7 +48,7 @@
   std::unique_ptr<Tap> node(int descriptor, Part part, const std::string& node);
   // The depot of a client, by its address; the number of a service grade.
   NameNumber depot_of(int descriptor);
-  NameNumber grade(const std::string& name);
+  NameNumber request_class(const std::string& name);
   std::uint64_t octets(Direction direction) const { return table_.octets(direction); }
 
  private:
--- a/src/flows_tool/archive.cpp
+++ b/src/flows_tool/archive.cpp
@@ -338,7 +338,7 @@
                                                  static_cast<std::uint64_t>(row.note),
                                                  row.depot,
                                                  row.node,
-                                                 row.grade,
+                                                 row.request_class,
                                                  row.requests,
                                                  row.octets[0],
                                                  row.octets[1],
@@ -442,7 +442,7 @@
           case By::kNode:
             one.keys.push_back(named(2, 4));
             break;
-          case By::kGrade:
+          case By::kRequestClass:
             one.keys.push_back(named(3, 3));
             break;
           case By::kPart:
--- a/src/flows_tool/main.cpp
+++ b/src/flows_tool/main.cpp
@@ -76,9 +76,10 @@
   return 0;
 }
 
-const std::map<std::string, By> kBy = {
-    {"depot", By::kDepot},     {"grade", By::kGrade}, {"node", By::kNode},         {"part", By::kPart},
-    {"outcome", By::kOutcome}, {"note", By::kNote},   {"exporter", By::kExporter}, {"time", By::kTime}};
+const std::map<std::string, By> kBy = {{"depot", By::kDepot},       {"grade", By::kRequestClass},
+                                       {"node", By::kNode},         {"part", By::kPart},
+                                       {"outcome", By::kOutcome},   {"note", By::kNote},
+                                       {"exporter", By::kExporter}, {"time", By::kTime}};
 
 std::string quoted(const std::string& text) {  // RFC 4180
   if (text.find_first_of(",\"\n") == std::string::npos) return text;
--- a/src/flows_tool/rows.cpp
+++ b/src/flows_tool/rows.cpp
@@ -183,8 +183,8 @@
         case Own::kNode:
           row.node = static_cast<std::uint32_t>(number);
           break;
-        case Own::kGrade:
-          row.grade = static_cast<std::uint32_t>(number);
+        case Own::kRequestClass:
+          row.request_class = static_cast<std::uint32_t>(number);
           break;
         case Own::kPart:
           row.part = static_cast<int>(number);
--- a/src/ipfix/elements.hpp
+++ b/src/ipfix/elements.hpp
@@ -44,7 +44,7 @@
 enum Own : std::uint16_t {
   kDepotReference = 1,
   kNodeReference = 2,
-  kGradeReference = 3,
+  kRequestClassReference = 3,
   kNodePart = 4,
   kRequestOutcome = 5,
   kCacheNote = 6,
--- a/src/ipfix/encoder.cpp
+++ b/src/ipfix/encoder.cpp
@@ -116,7 +116,7 @@
   out.own(kReversePayloadOctetTotal, r.total.octets[kReverse]);
   out.own(kDepotReference, r.label.depot.value);
   out.own(kNodeReference, r.node.value);
-  out.own(kGradeReference, r.label.grade.value);
+  out.own(kRequestClassReference, r.label.request_class.value);
   out.own(kNodePart, static_cast<std::uint8_t>(r.part));
   out.own(kRequestOutcome, static_cast<std::uint8_t>(r.label.outcome));
   out.own(kCacheNote, r.label.note);
@@ -198,7 +198,7 @@
   out.iana(own(kReversePayloadOctetTotal), r.total.octets[kReverse]);
   out.iana(own(kDepotReference), r.label.depot.value);
   out.iana(own(kNodeReference), r.node.value);
-  out.iana(own(kGradeReference), r.label.grade.value);
+  out.iana(own(kRequestClassReference), r.label.request_class.value);
   out.iana(own(kNodePart), static_cast<std::uint8_t>(r.part));
   out.iana(own(kRequestOutcome), static_cast<std::uint8_t>(r.label.outcome));
   out.iana(own(kCacheNote), r.label.note);
--- a/src/ipfix/record.hpp
+++ b/src/ipfix/record.hpp
@@ -32,7 +32,7 @@
 
 // What divides the traffic of one connection into flows.
 struct Label {
-  NameNumber grade, depot;  // depot: the network of the client that asked
+  NameNumber request_class, depot;  // depot: the network of the client that asked
   Outcome outcome = Outcome::kNone;
   std::uint8_t note = 0;  // where the answer came from, in the order of the protocol's notes; 0: not told
   bool operator==(const Label&) const = default;
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -60,16 +60,19 @@
       take(object, "retries", load.retries);
   take(object, "once", load.once);
   for (const json& one : object["grades"]) {
-    GradePlan grade;
-    take(one, "name", grade.name), take(one, "contract_s", grade.contract), take(one, "stop_s", grade.stop);
-    take(one, "stretch", grade.stretch), take(one, "share", grade.share), take(one, "size_kb", grade.size_kb);
-    take(one, "spread", grade.spread), take(one, "write", grade.write), take(one, "fresh_s", grade.fresh);
-    take(one, "grace_s", grade.grace);
+    RequestClassPlan request_class;
+    take(one, "name", request_class.name), take(one, "contract_s", request_class.contract),
+        take(one, "stop_s", request_class.stop);
+    take(one, "stretch", request_class.stretch), take(one, "share", request_class.share),
+        take(one, "size_kb", request_class.size_kb);
+    take(one, "spread", request_class.spread), take(one, "write", request_class.write),
+        take(one, "fresh_s", request_class.fresh);
+    take(one, "grace_s", request_class.grace);
     const std::string effect = one.value("effect", "retriable");
-    grade.effect = effect == "binding"         ? Effect::kBinding
-                   : effect == "fingerprinted" ? Effect::kFingerprinted
-                                               : Effect::kRetriable;
-    load.grades.push_back(grade);
+    request_class.effect = effect == "binding"         ? Effect::kBinding
+                           : effect == "fingerprinted" ? Effect::kFingerprinted
+                                                       : Effect::kRetriable;
+    load.request_classes.push_back(request_class);
   }
   return load;
 }
--- a/src/lab/world/judge.cpp
+++ b/src/lab/world/judge.cpp
@@ -22,11 +22,11 @@
     director_.list_entry(now, node, zone, kind, cell, endpoint_state, weight, launched);
   }
   void list_ends(Seconds now) override { director_.list_ends(now); }
-  void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, ObjectId object,
-                       PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
-                       bool is_write) override {
-    director_.request_arrived(now, request, grade, {0}, object, part, group, deadline, size_kb, resent,
-                              is_write);
+  void request_arrived(Seconds now, const RequestId& request, RequestClassIndex request_class,
+                       ObjectId object, PartNumber part, GroupId group, Seconds deadline, double size_kb,
+                       bool resent, bool is_write) override {
+    director_.request_arrived(now, request, request_class, {0}, object, part, group, deadline, size_kb,
+                              resent, is_write);
   }
   void request_dropped(Seconds now, const RequestId& request) override {
     director_.request_dropped(now, request);
@@ -68,13 +68,14 @@
   }
   void list_ends(Seconds) override {}
 
-  void request_arrived(Seconds now, const RequestId& id, GradeIndex grade, ObjectId object, PartNumber part,
-                       GroupId group, Seconds deadline, double, bool, bool is_write) override {
+  void request_arrived(Seconds now, const RequestId& id, RequestClassIndex request_class, ObjectId object,
+                       PartNumber part, GroupId group, Seconds deadline, double, bool,
+                       bool is_write) override {
     Request request;
     request.object = object.value, request.unit = object.value * 31 + static_cast<std::uint64_t>(part.value);
     request.group = group.value, request.deadline = deadline, request.write = is_write;
-    request.retriable = item("Effect", grade.value) == "retryable";
-    request.fresh = std::atof(list_item("FamilyInfo.GoodForS", grade.value).c_str());
+    request.retriable = item("Effect", request_class.value) == "retryable";
+    request.fresh = std::atof(list_item("FamilyInfo.GoodForS", request_class.value).c_str());
     requests_[id] = request;
     try_once(now, id);
   }
@@ -114,8 +115,8 @@
     bool write = false, retriable = false, may_have_run = false;
     std::vector<NodeId> tried;
   };
-  std::string item(const char* what, int grade) const {
-    const auto found = settings_.find("RequestClasses." + std::to_string(grade) + "." + what);
+  std::string item(const char* what, int request_class) const {
+    const auto found = settings_.find("RequestClasses." + std::to_string(request_class) + "." + what);
     return found == settings_.end() ? "" : found->second;
   }
   std::string list_item(const char* name, int place) const {
--- a/src/lab/world/judge.hpp
+++ b/src/lab/world/judge.hpp
@@ -16,9 +16,9 @@
   virtual void list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
                           EndpointState endpoint_state, double weight, Seconds launched) = 0;
   virtual void list_ends(Seconds now) = 0;
-  virtual void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, ObjectId object,
-                               PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
-                               bool is_write) = 0;
+  virtual void request_arrived(Seconds now, const RequestId& request, RequestClassIndex request_class,
+                               ObjectId object, PartNumber part, GroupId group, Seconds deadline,
+                               double size_kb, bool resent, bool is_write) = 0;
   virtual void request_dropped(Seconds now, const RequestId& request) = 0;
   virtual void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
                              Result result, AnswerDetail note, Seconds waited, Seconds spent,
--- a/src/lab/world/plan.hpp
+++ b/src/lab/world/plan.hpp
@@ -12,7 +12,7 @@
 
 enum class Effect { kRetriable, kFingerprinted, kBinding };
 
-struct GradePlan {
+struct RequestClassPlan {
   std::string name;
   Effect effect = Effect::kRetriable;
   Seconds contract = 0.5, stop = 3;               // contract time before its stretch, hard stop
@@ -47,7 +47,7 @@
          life = 120;             // life: seconds after which an object gives way to a new one
   int groups = 64, retries = 0;  // retries of a bounced client
   double once = 0;               // share of requests for objects that nobody asks for again
-  std::vector<GradePlan> grades;
+  std::vector<RequestClassPlan> request_classes;
 };
 
 struct FaultPlan {
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -176,7 +176,7 @@
 };
 
 struct Request {
-  std::uint32_t director = 0, grade = 0;
+  std::uint32_t director = 0, request_class = 0;
   std::uint64_t object = 0;
   int part = 0, group = 0, retries = 0;
   double size_kb = 0;
@@ -230,7 +230,8 @@
   Day run() {
     const Seconds end = kStart + plan_.lasts;
     Seconds longest = 0;
-    for (const GradePlan& grade : plan_.load.grades) longest = std::max(longest, grade.stop);
+    for (const RequestClassPlan& request_class : plan_.load.request_classes)
+      longest = std::max(longest, request_class.stop);
     // Past the end nothing new comes, and all that was taken gets its time.
     while (!events_.empty() && events_.top().at <= end + longest + 1) {
       const Event event = events_.top();
@@ -251,7 +252,7 @@
     const std::uint64_t number = request_number(id);
     Request& request = requests_.at(number);
     send(host, number, request, node, fill, time_out);
-    if (mutant_ == Mutant::kResendsBinding && grade(request).effect == Effect::kBinding &&
+    if (mutant_ == Mutant::kResendsBinding && request_class(request).effect == Effect::kBinding &&
         request.attempts.size() == 1)
       send(host, number, request, node, fill, time_out);
   }
@@ -293,7 +294,9 @@
   }
 
  private:
-  const GradePlan& grade(const Request& request) const { return plan_.load.grades[request.grade]; }
+  const RequestClassPlan& request_class(const Request& request) const {
+    return plan_.load.request_classes[request.request_class];
+  }
   static std::uint64_t request_number(const RequestId& id) { return std::stoull(id.value, nullptr, 16); }
   static RequestId request_id(std::uint64_t number) { return {fmt::format("{:016x}", number)}; }
   void mix(std::uint64_t value) {
@@ -331,7 +334,7 @@
     const WorldPlan& w = plan_.world;
     std::string fresh, grace, through, seats, hub;
     const auto add = [](std::string& to, const std::string& one) { to += (to.empty() ? "" : ",") + one; };
-    for (const GradePlan& one : plan_.load.grades) {
+    for (const RequestClassPlan& one : plan_.load.request_classes) {
       add(fresh, fmt::format("{}", one.fresh));
       add(grace, fmt::format("{}", one.grace));
       add(through, one.write ? "true" : "false");
@@ -367,10 +370,10 @@
                     {"Permissions.MaxRetryAfterS", "2"},
                     {"Permissions.RetryAfter", "true"},
                     {"Permissions.SecondCopies", "true"},
-                    {"RequestClasses.count", std::to_string(plan_.load.grades.size())},
+                    {"RequestClasses.count", std::to_string(plan_.load.request_classes.size())},
                     {"Weights", "nominal"}};
-    for (std::size_t i = 0; i < plan_.load.grades.size(); ++i) {
-      const GradePlan& one = plan_.load.grades[i];
+    for (std::size_t i = 0; i < plan_.load.request_classes.size(); ++i) {
+      const RequestClassPlan& one = plan_.load.request_classes[i];
       const std::string name = "RequestClasses." + std::to_string(i) + ".";
       constexpr const char* kEffects[] = {"retryable", "dedup", "fragile"};
       all[name + "Effect"] = kEffects[static_cast<int>(one.effect)];
@@ -412,9 +415,9 @@
     double sum = 0;
     for (double i = 1; i <= plan_.load.objects; ++i)
       popularity_.push_back(sum += std::pow(i, -plan_.load.zipf));
-    for (const GradePlan& one : plan_.load.grades) shares_.push_back(one.share);
-    pick_grade_ = std::discrete_distribution<std::uint32_t>(shares_.begin(), shares_.end());
-    earned_.resize(plan_.load.grades.size()), could_.resize(plan_.load.grades.size());
+    for (const RequestClassPlan& one : plan_.load.request_classes) shares_.push_back(one.share);
+    pick_request_class_ = std::discrete_distribution<std::uint32_t>(shares_.begin(), shares_.end());
+    earned_.resize(plan_.load.request_classes.size()), could_.resize(plan_.load.request_classes.size());
   }
 
   // --- load ---
@@ -425,7 +428,7 @@
     Request request;
     request.director = std::uniform_int_distribution<std::uint32_t>(
         0, static_cast<std::uint32_t>(hosts_.size()) - 1)(chance_);
-    request.grade = pick_grade_(chance_);
+    request.request_class = pick_request_class_(chance_);
     const double draw = std::uniform_real_distribution<double>(0, popularity_.back())(chance_);
     const auto rank = static_cast<std::uint64_t>(
         std::lower_bound(popularity_.begin(), popularity_.end(), draw) - popularity_.begin());
@@ -436,9 +439,9 @@
       const double phase = static_cast<double>(hashed(rank, seed_) % 1000) / 1000;
       request.object = hashed(rank, 1 + static_cast<std::uint64_t>(now_ / plan_.load.life + phase));
     }
-    const GradePlan& of = plan_.load.grades[request.grade];
+    const RequestClassPlan& of = plan_.load.request_classes[request.request_class];
     // An object has one size, whoever asks.
-    std::minstd_rand own(static_cast<std::uint32_t>(hashed(request.object, request.grade)));
+    std::minstd_rand own(static_cast<std::uint32_t>(hashed(request.object, request.request_class)));
     request.size_kb = of.size_kb * std::exp(std::normal_distribution<double>(0, of.spread)(own));
     request.group = static_cast<int>(request.object % static_cast<std::uint64_t>(plan_.load.groups));
     take(request);
@@ -446,7 +449,7 @@
   }
   void take(Request request) {
     const std::uint64_t number = next_request_++;
-    const GradePlan& of = plan_.load.grades[request.grade];
+    const RequestClassPlan& of = plan_.load.request_classes[request.request_class];
     request.arrived = now_, request.deadline = now_ + of.stop, request.owed = true;
     request.attempts.clear();
     request.counts = now_ >= kStart + plan_.settles;
@@ -455,9 +458,9 @@
     Host& host = *hosts_[request.director];
     const Request& held = requests_.emplace(number, std::move(request));
     at(held.deadline, What::kDeadline, held.director, number);
-    if (held.counts) could_[held.grade] += 1;
-    host.judge->request_arrived(now_, request_id(number), {static_cast<int>(held.grade)}, {held.object},
-                                {held.part}, {held.group}, held.deadline - 0.03, held.size_kb,
+    if (held.counts) could_[held.request_class] += 1;
+    host.judge->request_arrived(now_, request_id(number), {static_cast<int>(held.request_class)},
+                                {held.object}, {held.part}, {held.group}, held.deadline - 0.03, held.size_kb,
                                 held.retries > 0, of.write);
   }
 
@@ -477,9 +480,9 @@
     attempt.source = source == by_id_.end() ? attempt.node : source->second;
     attempt.number = static_cast<int>(request.attempts.size());
     attempt.rank = fill.rank, attempt.join = fill.join, attempt.held_only = fill.held_only;
-    attempt.object = request.object, attempt.unit = hashed(request.object, request.grade);
+    attempt.object = request.object, attempt.unit = hashed(request.object, request.request_class);
     attempt.sent = now_;
-    attempt.oldest = mutant_ == Mutant::kIgnoresPurge ? grade(request).fresh : fill.oldest_copy;
+    attempt.oldest = mutant_ == Mutant::kIgnoresPurge ? request_class(request).fresh : fill.oldest_copy;
     attempt.told_drain = host.drain_told[attempt.node];
     request.attempts.push_back(attempt.id);
     ++attempt_count_;
@@ -527,7 +530,7 @@
       return end_later(*attempt, Result::kRejected, back);
     attempt->counted = true;
     ++node.held;
-    if (grade(request).write) return write(*attempt, request);
+    if (request_class(request).write) return write(*attempt, request);
     const Memory::Copy* copy = node.memory.find(attempt->unit);
     if (node.kind == 2) {
       attempt->copy_at = now_, attempt->note = AnswerDetail::kHit;
@@ -585,7 +588,7 @@
       return end_later(attempt, nodes_[attempt.node].kind == 2 ? Result::kRejected : Result::kError,
                        extra + way_to(nodes_[attempt.node]));
     }
-    auditor_.ran(attempt.request, grade(request).effect);
+    auditor_.ran(attempt.request, request_class(request).effect);
     attempt.note = AnswerDetail::kHit, attempt.copy_at = now_;
     let_go(attempt);
     end_later(attempt, Result::kCompleted,
@@ -726,7 +729,7 @@
       request.owed = false;  // it is taken for answered, and stays open
     } else if (attempt->result == Result::kCompleted && request.owed) {
       check_copy(host, *attempt, request);
-      const GradePlan& of = grade(request);
+      const RequestClassPlan& of = request_class(request);
       const Seconds spent = now_ - request.arrived;
       const Seconds contract = of.contract + of.stretch * request.size_kb / plan_.world.flow_kb_per_s;
       const double worth =
@@ -755,7 +758,7 @@
   void note_end(Request& request, double worth) {
     request.owed = false;
     if (mutant_ != Mutant::kMiscounts || next_request_ % 100 != 0) --open_;
-    if (request.counts) earned_[request.grade] += worth;
+    if (request.counts) earned_[request.request_class] += worth;
     ++sample_.ended;
     sample_.utility += worth;
   }
@@ -1014,7 +1017,7 @@
     day_.findings.attempts = attempt_count_, day_.findings.origin_fetches = origin_fetches_;
     double earned = 0, could = 0;
     for (std::size_t i = 0; i < earned_.size(); ++i) {
-      day_.grades.push_back(could_[i] > 0 ? earned_[i] / could_[i] : 0);
+      day_.request_classes.push_back(could_[i] > 0 ? earned_[i] / could_[i] : 0);
       earned += earned_[i], could += could_[i];
     }
     day_.utility = could > 0 ? earned / could : 0;
@@ -1051,7 +1054,7 @@
   std::vector<FaultPlan> rolls_;
   std::vector<Purge> purges_;
   std::vector<double> popularity_, shares_, earned_, could_, latencies_;
-  std::discrete_distribution<std::uint32_t> pick_grade_;
+  std::discrete_distribution<std::uint32_t> pick_request_class_;
   Sample sample_;
   Findings before_;
   Day day_;
--- a/src/lab/world/world.hpp
+++ b/src/lab/world/world.hpp
@@ -35,8 +35,8 @@
 
 struct Day {
   Findings findings;
-  double utility = 0;          // earned of what could be
-  std::vector<double> grades;  // the same by service grade
+  double utility = 0;                   // earned of what could be
+  std::vector<double> request_classes;  // the same by service grade
   double attempts_per_request = 0, origin_share = 0;
   double p50 = 0, p99 = 0;  // seconds to the answers completed
   std::uint64_t events = 0;
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -128,7 +128,7 @@
 
 enum class Effect { kRetriable, kFingerprinted, kBinding };
 
-struct Grade {
+struct RequestClass {
   Seconds contract = 0.5, window = 0, fresh = 0, grace = 0;
   double stretch = 0;
   Effect effect = Effect::kBinding;  // an unknown effect is treated as the strictest
@@ -146,7 +146,7 @@
 
 struct Request {
   RequestId id;
-  int grade = 0;
+  int request_class = 0;
   std::uint64_t object = 0, unit = 0;
   std::int64_t group = 0;
   Seconds arrived = 0, deadline = 0, resume_at = kLongAgo, first_ran = 0;
@@ -212,18 +212,18 @@
         began(start) {
     for (int i = 0; i < number("RequestClasses.count", 1); ++i) {
       const std::string at = "RequestClasses." + std::to_string(i) + ".";
-      Grade grade;
-      grade.contract = number(at + "PromiseS", grade.contract);
-      grade.stretch = number(at + "AimStretch", 0);
-      grade.window = number(at + "WindowS", 0);
-      grade.group = text(at + "Group", "all");
+      RequestClass request_class;
+      request_class.contract = number(at + "PromiseS", request_class.contract);
+      request_class.stretch = number(at + "AimStretch", 0);
+      request_class.window = number(at + "WindowS", 0);
+      request_class.group = text(at + "Group", "all");
       const std::string effect = text(at + "Effect", "fragile");
-      if (effect == "retryable") grade.effect = Effect::kRetriable;
-      if (effect == "dedup") grade.effect = Effect::kFingerprinted;
-      grade.fresh = std::atof(item("FamilyInfo.GoodForS", i, "0").c_str());
-      grade.grace = std::atof(item("FamilyInfo.StaleForS", i, "0").c_str());
-      grade.through = item("FamilyInfo.GoesThrough", i, "false") == "true";
-      grades.push_back(grade);
+      if (effect == "retryable") request_class.effect = Effect::kRetriable;
+      if (effect == "dedup") request_class.effect = Effect::kFingerprinted;
+      request_class.fresh = std::atof(item("FamilyInfo.GoodForS", i, "0").c_str());
+      request_class.grace = std::atof(item("FamilyInfo.StaleForS", i, "0").c_str());
+      request_class.through = item("FamilyInfo.GoesThrough", i, "false") == "true";
+      request_classes.push_back(request_class);
     }
     here = static_cast<int>(number("Locality", 0));
     read_permissions();
@@ -519,15 +519,15 @@
   }
 
   // --- figures of a request ---
-  Grade& grade_of(const Request& p) { return grades[p.grade]; }
+  RequestClass& request_class_of(const Request& p) { return request_classes[p.request_class]; }
   double mean_send(const Request& p) {
-    const Average& send = grade_of(p).send;
+    const Average& send = request_class_of(p).send;
     return send.heard() ? send.mean() : kUnknownSend;
   }
   double send_time(const Request& p) { return flow > 0 && p.size_kb > 0 ? p.size_kb / flow : mean_send(p); }
   Seconds expected(const Request& p) { return (send_time(p) + kSetup) * (pace.heard() ? pace.mean() : 1.5); }
   Seconds contract_time(const Request& p) {
-    return grade_of(p).contract + grade_of(p).stretch * send_time(p);
+    return request_class_of(p).contract + request_class_of(p).stretch * send_time(p);
   }
   // A further attempt only if the time left exceeds what it is expected to take. The first is always made:
   // after a slow spell nothing else would tell that things go faster again.
@@ -543,15 +543,15 @@
 
   // Rule 2: a fingerprinted request that may have run stays in the group that knows the repeat, and a further
   // attempt must end, not only begin, while repeats are dropped there: past the window it would run again.
-  Seconds window_left(const Request& p) { return p.first_ran + grade_of(p).window - now; }
+  Seconds window_left(const Request& p) { return p.first_ran + request_class_of(p).window - now; }
   bool is_repeat(const Request& p) { return p.may_have_run || p.out() > 0; }
   bool may_go_to(const Request& p, int n) {
-    const Grade& grade = grade_of(p);
-    if (grade.effect == Effect::kRetriable || !is_repeat(p)) return true;
-    if (grade.effect == Effect::kBinding || window_left(p) <= expected(p)) return false;
-    if (grade.group == "zone") return zone[n] == zone[p.first_node];
-    if (grade.group == "cell") return cell[n] == cell[p.first_node];
-    return grade.group == "all";
+    const RequestClass& request_class = request_class_of(p);
+    if (request_class.effect == Effect::kRetriable || !is_repeat(p)) return true;
+    if (request_class.effect == Effect::kBinding || window_left(p) <= expected(p)) return false;
+    if (request_class.group == "zone") return zone[n] == zone[p.first_node];
+    if (request_class.group == "cell") return cell[n] == cell[p.first_node];
+    return request_class.group == "all";
   }
 
   // The design's spread: what passes a quarter of its home's rate. An unheard home counts as average.
@@ -567,8 +567,9 @@
   }
 
   Seconds oldest_copy(const Request& p) {
-    const Grade& grade = grade_of(p);
-    Seconds bound = grade.fresh > 0 && p.stale_will_do ? grade.fresh + grade.grace : grade.fresh;
+    const RequestClass& request_class = request_class_of(p);
+    Seconds bound = request_class.fresh > 0 && p.stale_will_do ? request_class.fresh + request_class.grace
+                                                               : request_class.fresh;
     // Rule 5: both kinds of purge count until every node must have dropped its older copies.
     const auto purged_at = invalidations.latest_purge({p.object}, {p.group});
     if (!purged_at) return bound;
@@ -582,7 +583,7 @@
     explicit operator bool() const { return node != kNobody && source != kNobody; }
   };
   bool trial_due(const Request& p, int n) {
-    return grade_of(p).effect == Effect::kRetriable && p.offs.empty() && now >= next_trial[n];
+    return request_class_of(p).effect == Effect::kRetriable && p.offs.empty() && now >= next_trial[n];
   }
 
   // The cache for a request: its home, or the next by the hash that can take it; of the top two for a spread
@@ -745,7 +746,7 @@
   }
   // A copy past its fresh time, where the grade allows one and all else has failed.
   Way stale_way(const Request& p) {
-    if (p.stale_will_do || grade_of(p).grace <= 0) return {};
+    if (p.stale_will_do || request_class_of(p).grace <= 0) return {};
     return choose_cache(p);
   }
 
@@ -771,10 +772,11 @@
                             .oldest_copy = oldest_copy(p),
                             .join = can_join,
                             .held_only = is_parent(way.source) && !origin_open(p),
-                            .renew = grade_of(p).fresh > 0};
-    const bool repeatable = grade_of(p).effect == Effect::kRetriable;
+                            .renew = request_class_of(p).fresh > 0};
+    const bool repeatable = request_class_of(p).effect == Effect::kRetriable;
     const bool call_back = second_copies || may_cancel;
-    const Seconds window = grade_of(p).effect == Effect::kFingerprinted && is_repeat(p) ? window_left(p) : 0;
+    const Seconds window =
+        request_class_of(p).effect == Effect::kFingerprinted && is_repeat(p) ? window_left(p) : 0;
     if (!is_repeat(p)) p.first_node = way.node, p.first_ran = now;
     p.offs.push_back(off);
     p.overdue = false;
@@ -800,7 +802,7 @@
     if (!owed(p) || !attempts_left(p) || !time_for_another(p)) return false;
     return idle(p) || (p.overdue && p.out() == 1 && second_copies);
   }
-  bool is_write(const Request& p) { return p.write || grade_of(p).through; }
+  bool is_write(const Request& p) { return p.write || request_class_of(p).through; }
 
   bool is_quiet(const Request& p) { return p.over && p.out() == 0; }
   void forget(Request& p) { requests.erase(RequestId(p.id)); }
@@ -825,16 +827,16 @@
   // Rule 2: a binding request that may have run gets no further attempt, and no promise; nor does a
   // fingerprinted one whose mark may be forgotten before its repeat, or its client's, has ended.
   bool is_spent(const Request& p) {
-    const Grade& grade = grade_of(p);
-    const bool binding = grade.effect == Effect::kBinding;
-    const bool late_copy = grade.effect == Effect::kFingerprinted && window_left(p) <= expected(p);
+    const RequestClass& request_class = request_class_of(p);
+    const bool binding = request_class.effect == Effect::kBinding;
+    const bool late_copy = request_class.effect == Effect::kFingerprinted && window_left(p) <= expected(p);
     const bool stuck = p.may_have_run && (binding || late_copy);
     return idle(p) && (stuck || !attempts_left(p) || !time_for_another(p));
   }
   void give_up(Request& p) {
-    const Grade& grade = grade_of(p);
-    const bool harmless = grade.effect == Effect::kRetriable || (!p.may_have_run && p.out() == 0) ||
-                          (grade.effect == Effect::kFingerprinted && grade.group == "all" &&
+    const RequestClass& request_class = request_class_of(p);
+    const bool harmless = request_class.effect == Effect::kRetriable || (!p.may_have_run && p.out() == 0) ||
+                          (request_class.effect == Effect::kFingerprinted && request_class.group == "all" &&
                            window_left(p) > most_advice + expected(p));
     if (!harmless) return fail(p);
     p.over = true;
@@ -899,7 +901,7 @@
         // A fill that never took place is taken off the source's budget, at the time it was charged: a later
         // entry would outlive the charge and let more through than the budget holds. Only a note tells it,
         // and a copy that is renewed behind its answer asks the source all the same.
-        if ((note == AnswerDetail::kHit || note == AnswerDetail::kJoined) && grade_of(p).fresh <= 0 &&
+        if ((note == AnswerDetail::kHit || note == AnswerDetail::kJoined) && request_class_of(p).fresh <= 0 &&
             off.source_charge > 0)
           ledger[s].emplace_back(off.sent, -off.source_charge);
         if (!asked || !filled) break;
@@ -1045,7 +1047,7 @@
       measure_origin(1 - (1 - kOriginLate) / (1 + origin_good), off.sent);
       origin_good = 0;
     }
-    if (grade_of(p).effect != Effect::kRetriable) return;
+    if (request_class_of(p).effect != Effect::kRetriable) return;
     // Guards against waits on a slow source that keep hits out: a late fill gives its cache's room back.
     if (off.source != off.node) out_here[off.node] -= std::exchange(off.in_room, false);
     const bool suspected = first && suspect(p, off);
@@ -1091,7 +1093,7 @@
   std::uint64_t director_hash;
   Seconds now, began;
   Seconds deadlines_end_at = kNever;
-  std::vector<Grade> grades;
+  std::vector<RequestClass> request_classes;
   int here = 0, parent_kind = -1, origin_kind = -1;
   bool can_join = false, direct = false, may_cancel = false, second_copies = false, may_advise = false;
   bool peers_fill = false, tells_all = false, weights_drift = false, weights_unknown = false;
@@ -1193,17 +1195,18 @@
   m.sort_out_kinds();
 }
 
-void Director::request_arrived(Seconds now, const RequestId& id, GradeIndex grade, TenantIndex,
+void Director::request_arrived(Seconds now, const RequestId& id, RequestClassIndex request_class, TenantIndex,
                                ObjectId object, PartNumber part, GroupId group, Seconds deadline,
                                double size_kb, bool, bool is_write) {
   State& m = state_->at(now);
   m.calm_origin();
   Request p;
-  p.id = id, p.grade = std::clamp(grade.value, 0, static_cast<int>(m.grades.size()) - 1);
+  p.id = id,
+  p.request_class = std::clamp(request_class.value, 0, static_cast<int>(m.request_classes.size()) - 1);
   p.object = object.value, p.unit = mix(object.value) ^ mix(~static_cast<std::uint64_t>(part.value));
   p.group = group.value, p.arrived = now, p.deadline = deadline, p.size_kb = size_kb, p.write = is_write;
   m.cut_deadline(p);
-  if (m.flow > 0 && size_kb > 0) m.grades[p.grade].send.add(now, size_kb / m.flow, 1);
+  if (m.flow > 0 && size_kb > 0) m.request_classes[p.request_class].send.add(now, size_kb / m.flow, 1);
   if (!m.is_write(p)) {
     Unit& unit = m.units[p.unit];
     p.known = unit.at > kLongAgo, p.hot = now - unit.at <= kHotSpan;  // one request in the span is no crowd
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -23,7 +23,7 @@
 using ObjectId = Id<struct ObjectTag, std::uint64_t>;
 using GroupId = Id<struct GroupTag, std::int64_t>;
 using PartNumber = Id<struct PartTag, std::int64_t>;
-using GradeIndex = Id<struct GradeTag, int>;
+using RequestClassIndex = Id<struct RequestClassTag, int>;
 using TenantIndex = Id<struct TenantTag, int>;
 using ZoneIndex = Id<struct ZoneTag, int>;
 using KindIndex = Id<struct KindTag, int>;
@@ -104,9 +104,9 @@
                   EndpointState endpoint_state, double weight, Seconds launched, Seconds stamped = 0);
   void list_ends(Seconds now);
 
-  void request_arrived(Seconds now, const RequestId& request, GradeIndex grade, TenantIndex tenant,
-                       ObjectId object, PartNumber part, GroupId group, Seconds deadline, double size_kb,
-                       bool resent, bool is_write);
+  void request_arrived(Seconds now, const RequestId& request, RequestClassIndex request_class,
+                       TenantIndex tenant, ObjectId object, PartNumber part, GroupId group, Seconds deadline,
+                       double size_kb, bool resent, bool is_write);
   void request_dropped(Seconds now, const RequestId& request);
   // The director is to end: no deadline, of what is open or still comes, lies after that moment. A request
   // that is cut short by it is rejected where that is true of it, and failed else.
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -71,7 +71,7 @@
   const auto list = [&](const char* what, const std::vector<std::string>& names) {
     fmt::print(out, "{}: {}\n", what, fmt::join(names, ", "));
   };
-  list("service grades", config.names.grades);
+  list("service grades", config.names.request_classes);
   list("zones", config.names.zones);
   list("kinds", config.names.kinds);
   fmt::print(out, "limits: {} clients, {} connections to nodes, {} MB of answers not yet taken\n",
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -50,7 +50,7 @@
       texts(settings["RequestClasses"], "Name"), texts(settings["Zones"]), texts(settings["Kinds"]), {}};
   for (const std::string& writes : texts(settings["FamilyInfo"]["GoesThrough"]))
     config.names.writes.push_back(writes == "true");
-  if (config.names.grades.empty()) throw BadConfig("the settings name no RequestClasses");
+  if (config.names.request_classes.empty()) throw BadConfig("the settings name no RequestClasses");
   config.memory = static_cast<std::size_t>(std::clamp((*json)["limits"]["memory_mb"].number(192), 1.0, 1e6))
                   << 20;
   config.limits = fill_limits((*json)["limits"], settings);
--- a/src/program/limits.cpp
+++ b/src/program/limits.cpp
@@ -54,8 +54,8 @@
   // What could not be sent, or would be waited for, ten times longer than any grade allows is no figure of a
   // request: one of those would drown what is learnt from all others.
   double longest = 0;
-  for (const protocol::Json& grade : settings["RequestClasses"].items())
-    longest = std::max(longest, grade["DeadlineS"].number(0));
+  for (const protocol::Json& request_class : settings["RequestClasses"].items())
+    longest = std::max(longest, request_class["DeadlineS"].number(0));
   if (longest <= 0) longest = kUsualDeadline;
   limits.longest_wait = 10 * longest;
   fill_shutdown(limits, longest);
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -272,7 +272,7 @@
   if (!tap_) return;
   ipfix::Label label;
   if (outcome != ipfix::Outcome::kNone)
-    label = {grade_, depot_, outcome, static_cast<std::uint8_t>(note)};
+    label = {request_class_, depot_, outcome, static_cast<std::uint8_t>(note)};
   else
     label.depot = depot_;
   tap_->read_for(label, std::exchange(request_bytes_, 0));
--- a/src/routing/client_request.cpp
+++ b/src/routing/client_request.cpp
@@ -123,12 +123,12 @@
   const auto target = read_target(http_request_.target);
   if (!target) return false;
   ObjectId object;
-  const auto& grades = listener_.names_.grades;
-  const auto known = std::find(grades.begin(), grades.end(), target->request_class);
-  if (known == grades.end() || !protocol::read_object(target->object, object)) return false;
+  const auto& request_classes = listener_.names_.request_classes;
+  const auto known = std::find(request_classes.begin(), request_classes.end(), target->request_class);
+  if (known == request_classes.end() || !protocol::read_object(target->object, object)) return false;
   if (!http_request_.has_id || !http_request_.has_stop || http_request_.bad) return false;
   // What a node would answer with an error: a read that brings bytes, a write that does not write.
-  const auto place = static_cast<std::size_t>(known - grades.begin());
+  const auto place = static_cast<std::size_t>(known - request_classes.begin());
   const auto& writes = listener_.names_.writes;
   if (http_request_.get && !http_request_.body.empty()) return false;
   if (place < writes.size() && writes[place] != http_request_.put) return false;
@@ -152,8 +152,8 @@
   forwarded_request->cached = std::move(http_request_.cached);
   forwarded_request->body = std::move(http_request_.body);
   if (tap_) {
-    grade_ = listener_.flows_->grade(forwarded_request->lane);
-    forwarded_request->grade_number = grade_.value;
+    request_class_ = listener_.flows_->request_class(forwarded_request->lane);
+    forwarded_request->request_class_number = request_class_.value;
     forwarded_request->depot_number = depot_.value;
   }
   const Limits& limits = listener_.limits_;
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -180,22 +180,23 @@
   });
 }
 
-void DirectorActor::request_arrived(const RequestId& request, GradeIndex grade, ObjectId object,
-                                    PartNumber part, GroupId group, Seconds deadline, double size_kb,
-                                    bool resent, bool is_write,
+void DirectorActor::request_arrived(const RequestId& request, RequestClassIndex request_class,
+                                    ObjectId object, PartNumber part, GroupId group, Seconds deadline,
+                                    double size_kb, bool resent, bool is_write,
                                     std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                                     std::weak_ptr<ResponseSink> response_sink) {
   ++counters_.taken;
   counters_.open = ++open_;
   mailbox_.post([=, this, forwarded_request = std::move(forwarded_request),
                  response_sink = std::move(response_sink)]() mutable {
-    arrived(request, grade, object, part, group, deadline, size_kb, resent, is_write,
+    arrived(request, request_class, object, part, group, deadline, size_kb, resent, is_write,
             std::move(forwarded_request), std::move(response_sink));
   });
 }
 
-void DirectorActor::arrived(const RequestId& id, GradeIndex grade, ObjectId object, PartNumber part,
-                            GroupId group, Seconds deadline, double size_kb, bool resent, bool is_write,
+void DirectorActor::arrived(const RequestId& id, RequestClassIndex request_class, ObjectId object,
+                            PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
+                            bool is_write,
                             std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                             std::weak_ptr<ResponseSink> response_sink) {
   if (requests_.contains(
@@ -210,8 +211,8 @@
   request.response_sink = std::move(response_sink);
   request.deadline = std::min(deadline, deadlines_end_);
   watch_overdue(id, requests_.insert_or_assign(id, std::move(request)).first->second);
-  director_->request_arrived(clock_.now(), id, grade, {0}, object, part, group, clock_.of_scheduler(deadline),
-                             size_kb, resent, is_write);
+  director_->request_arrived(clock_.now(), id, request_class, {0}, object, part, group,
+                             clock_.of_scheduler(deadline), size_kb, resent, is_write);
 }
 
 // Guards against a request that nothing would ever end; the module's own time-outs come first.
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -34,7 +34,7 @@
 
 // The names that stand for indexes in the settings.
 struct Names {
-  std::vector<std::string> grades, zones, kinds;
+  std::vector<std::string> request_classes, zones, kinds;
   std::vector<bool> writes;  // by grade, where the settings tell
 };
 
@@ -59,9 +59,9 @@
   void known_change_arrived(protocol::Json change) override;
   void changes_arrived(std::vector<distribution::NumberedChange> changes, bool more_waits,
                        std::function<void(bool taken)> done) override;
-  void request_arrived(const RequestId& request, GradeIndex grade, ObjectId object, PartNumber part,
-                       GroupId group, Seconds deadline, double size_kb, bool resent, bool is_write,
-                       std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+  void request_arrived(const RequestId& request, RequestClassIndex request_class, ObjectId object,
+                       PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
+                       bool is_write, std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                        std::weak_ptr<ResponseSink> response_sink);
   void request_left(const RequestId& request);
   // A request that a limit kept from the module: counted, and answered by whoever calls.
@@ -88,8 +88,8 @@
   };
   class Changes;
 
-  void arrived(const RequestId& request, GradeIndex grade, ObjectId object, PartNumber part, GroupId group,
-               Seconds deadline, double size_kb, bool resent, bool is_write,
+  void arrived(const RequestId& request, RequestClassIndex request_class, ObjectId object, PartNumber part,
+               GroupId group, Seconds deadline, double size_kb, bool resent, bool is_write,
                std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                std::weak_ptr<ResponseSink> response_sink);
   void attempt_ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -168,7 +168,7 @@
   const Seconds give_up_at = message.give_up_at;
   Open open;
   open.number = number;
-  open.grade = {message.forwarded_request->grade_number};
+  open.request_class = {message.forwarded_request->request_class_number};
   open.depot = {message.forwarded_request->depot_number};
   open.timer = watch(request, number, std::min(give_up_at, now + limits_.begin_within), give_up_at);
   link->open.emplace(request, open);
@@ -340,7 +340,7 @@
     outcome = Outcome::kBounced;
   const std::size_t written = std::exchange(open.octets, 0);
   if (written + octets_read == 0) return;  // nothing of it moved, or it is booked already
-  const ipfix::Label label{open.grade, open.depot, outcome, static_cast<std::uint8_t>(note)};
+  const ipfix::Label label{open.request_class, open.depot, outcome, static_cast<std::uint8_t>(note)};
   link.tap->wrote_for(label, written);
   link.tap->read_for(label, octets_read);
   link.tap->request_ended(label);
--- a/src/routing/upstream_node.hpp
+++ b/src/routing/upstream_node.hpp
@@ -61,7 +61,7 @@
     transport::Scheduler::TimerKey timer;
     Seconds written_at = 0;
     bool written = false, moved_on = false;
-    ipfix::NameNumber grade, depot;  // for flow records, as is what was written of it
+    ipfix::NameNumber request_class, depot;  // for flow records, as is what was written of it
     std::size_t octets = 0;
   };
   class UpstreamConnection;
--- a/tests/flow/encoder_test.cpp
+++ b/tests/flow/encoder_test.cpp
@@ -68,7 +68,7 @@
       "{} octets "
       "{}/{} packets {}/{} wire {}/{} total {}/{}\n",
       r.id, r.initiator, r.initiator_port, r.responder, r.responder_port, r.start, r.end, r.reason, r.part,
-      r.outcome, r.note, r.depot, r.node, r.grade, r.requests, r.octets[0], r.octets[1], r.packets[0],
+      r.outcome, r.note, r.depot, r.node, r.request_class, r.requests, r.octets[0], r.octets[1], r.packets[0],
       r.packets[1], r.wire[0], r.wire[1], r.total[0], r.total[1]);
 }
 
@@ -92,7 +92,7 @@
     encoder.element_types(kNow);
     encoder.templates(kNow);
     for (const bool v6 : {false, true, false}) encoder.flow(kNow, sample(5, v6));
-    encoder.name(kNow, NameKind::kGrade, {11}, "scan-batches");
+    encoder.name(kNow, NameKind::kRequestClass, {11}, "scan-batches");
     encoder.name(kNow, NameKind::kDepot, {22}, "north");
     Endpoint to;
     to.address = {127, 0, 0, 1}, to.port = 4739;
@@ -156,7 +156,7 @@
 struct Laid {
   std::uint64_t flowId, flowStartMilliseconds, flowEndMilliseconds, octets, reverse_octets, packets,
       reverse_packets;
-  std::uint32_t sourceIPv4Address, destinationIPv4Address, grade;
+  std::uint32_t sourceIPv4Address, destinationIPv4Address, request_class;
   std::uint16_t sourceTransportPort, destinationTransportPort;
   std::uint8_t flowEndReason, outcome, padding[2];
 };
@@ -210,8 +210,8 @@
       trace += fmt::format("{} {:x}:{} {:x}:{} {} {} {} {} {} {} grade {} reason {} outcome {}\n", row.flowId,
                            row.sourceIPv4Address, row.sourceTransportPort, row.destinationIPv4Address,
                            row.destinationTransportPort, row.flowStartMilliseconds, row.flowEndMilliseconds,
-                           row.octets, row.reverse_octets, row.packets, row.reverse_packets, row.grade,
-                           row.flowEndReason, row.outcome);
+                           row.octets, row.reverse_octets, row.packets, row.reverse_packets,
+                           row.request_class, row.flowEndReason, row.outcome);
       size = sizeof row;
     }
     CHECK_MESSAGE(fBufRemaining(buffer) == 0, std::string(error->message));
--- a/tests/flow/export_test.cpp
+++ b/tests/flow/export_test.cpp
@@ -75,11 +75,11 @@
     collecting->listen_tcp(collector_at);
     collecting->listen_udp(collector_at);
   }
-  rig::Client& client(const char* from, const char* grade, rig::Reading reading = {}) {
-    clients.push_back(
-        std::make_unique<rig::Client>(scheduler, listen, *transport::Address::parse(std::string(from) + ":0"),
-                                      grade, grade == std::string("note"), reading, clients.size()));
-    from_of.push_back(from), grade_of.push_back(grade);
+  rig::Client& client(const char* from, const char* request_class, rig::Reading reading = {}) {
+    clients.push_back(std::make_unique<rig::Client>(
+        scheduler, listen, *transport::Address::parse(std::string(from) + ":0"), request_class,
+        request_class == std::string("note"), reading, clients.size()));
+    from_of.push_back(from), request_class_of.push_back(request_class);
     return *clients.back();
   }
   void all_done() {
@@ -147,7 +147,7 @@
       Sums& sum = all[std::string(from_of[i] == "127.0.0.2" ? "north "
                                   : from_of[i] == "[::1]"   ? "six "
                                                             : "rest ") +
-                      grade_of[i]];
+                      request_class_of[i]];
       const rig::Tally& tally = clients[i]->tally();
       sum.out += tally.octets.sent, sum.in += tally.octets.received, sum.requests += tally.asked;
       sum.packets_out += tally.segments.sent, sum.packets_in += tally.segments.received;
@@ -165,11 +165,11 @@
   std::optional<flows_tool::Archive> archive;
   std::optional<flows_tool::Collector> collecting;
   std::vector<std::unique_ptr<rig::Client>> clients;
-  std::vector<std::string> from_of, grade_of;
+  std::vector<std::string> from_of, request_class_of;
 };
 
 void check_octets(const Scene& scene) {
-  const auto told = scene.sums({By::kDepot, By::kGrade}, "client");
+  const auto told = scene.sums({By::kDepot, By::kRequestClass}, "client");
   const auto counted = scene.counted();
   for (const auto& [key, sum] : counted) {
     REQUIRE_MESSAGE(told.contains(key), key);
@@ -207,7 +207,7 @@
       CHECK(parts.at(names[i]).in == scene.nodes[i]->octets().sent);
     }
     // Segments: a handshake, an end and a last acknowledgement may fall on either side of the last look.
-    const auto told = scene.sums({By::kDepot, By::kGrade}, "client");
+    const auto told = scene.sums({By::kDepot, By::kRequestClass}, "client");
     for (const auto& [key, sum] : scene.counted()) {
       const auto margin = 4 * sum.flows;
       CHECK_MESSAGE(told.at(key).packets_out + margin >= sum.packets_out, key);
@@ -315,11 +315,11 @@
   check_octets(scene);
   CHECK(scene.collecting->decoded().lost == 0);
   // And once more, from the start of the spool's cursor: what came before counts no second time.
-  const auto before = scene.sums({By::kDepot, By::kGrade});
+  const auto before = scene.sums({By::kDepot, By::kRequestClass});
   scene.start();
   scene.stop();
   scene.settle();
-  const auto after = scene.sums({By::kDepot, By::kGrade}, "client");
+  const auto after = scene.sums({By::kDepot, By::kRequestClass}, "client");
   for (const auto& [key, sum] : scene.counted()) CHECK(after.at(key).out == sum.out);
 }
 
--- a/tests/flow/exporter_disk_test.cpp
+++ b/tests/flow/exporter_disk_test.cpp
@@ -194,7 +194,8 @@
   const auto collector_at = somewhere();
   Run run(folder, collector_at, 86400, 1 << 20, 1200 << 10);
   for (int i = 0; i < 30000; ++i) {
-    run.exporter->grade("a name that is as long as names of service grades may be: " + std::to_string(i));
+    run.exporter->request_class("a name that is as long as names of service grades may be: " +
+                                std::to_string(i));
     if (i % 500 == 499) REQUIRE(run.until_all_on_disk());
   }
   CHECK(run.counters.flow_messages_dropped > 0);
@@ -236,12 +237,12 @@
     }
     Run next(folder, collector_at, 600);
     // Two batches on the disk, one after another: between them the spool was looked at for what is too old.
-    next.exporter->grade("first");
+    next.exporter->request_class("first");
     REQUIRE(next.until([&] { return next.counters.spool_written > 0 && next.all_on_disk(); }));
     const std::uint64_t before = next.counters.spool_written;
-    next.exporter->grade("second");
+    next.exporter->request_class("second");
     REQUIRE(next.until([&] { return next.counters.spool_written > before; }));
-    next.exporter->grade("third");
+    next.exporter->request_class("third");
     REQUIRE(next.until([&] { return next.counters.spool_written > before + 1; }));
     CHECK(flows_collected(next, folder, collector_at, 20) == 20);
     CHECK(next.counters.flow_records_dropped == 0);
@@ -270,7 +271,7 @@
     script.error_number = EIO;
     script.fails_until = disk_faults::kAlways;
     const Injection failing(script);
-    next.exporter->grade("a new name");
+    next.exporter->request_class("a new name");
     REQUIRE(next.until([&] { return failing.hits() > 0; }));
     collector.listen_tcp(collector_at);
     REQUIRE(next.until([&] { return next.counters.collectors_up > 0; }));
--- a/tests/flow/table_test.cpp
+++ b/tests/flow/table_test.cpp
@@ -44,14 +44,14 @@
     if (traces)
       trace += fmt::format(
           "flow {} grade {} reason {} from {:.1f} to {:.1f}: {}/{} octets, {}/{} packets, {} requests\n",
-          r.id, r.label.grade.value, static_cast<int>(r.reason), r.start, r.end, r.delta.octets[0],
+          r.id, r.label.request_class.value, static_cast<int>(r.reason), r.start, r.end, r.delta.octets[0],
           r.delta.octets[1], r.delta.packets[0], r.delta.packets[1], r.requests);
   }
 };
 
-Label grade(std::uint32_t number) {
+Label request_class(std::uint32_t number) {
   Label label;
-  label.grade = {number};
+  label.request_class = {number};
   return label;
 }
 
@@ -62,19 +62,19 @@
   ledger.traces = true;
   Table table({100, 10, 1.0, 3.0}, 1, ledger);
   const auto one = *table.opened(0, {});
-  table.moved(0, one, grade(1), ipfix::kForward, 150);
+  table.moved(0, one, request_class(1), ipfix::kForward, 150);
   for (int i = 1; i <= 24; ++i) {
     ledger.counted[one.value].segments = {3u + i, 2u + 5u * i};
-    table.moved(0.25 * i, one, grade(1), ipfix::kReverse, 7000);
+    table.moved(0.25 * i, one, request_class(1), ipfix::kReverse, 7000);
     table.expire(0.25 * i, 100);
   }
-  table.request_ended(6, one, grade(1));
-  table.moved(6.1, one, grade(2), ipfix::kForward, 300);
-  table.moved(6.1, one, grade(2), ipfix::kReverse, 100);
+  table.request_ended(6, one, request_class(1));
+  table.moved(6.1, one, request_class(2), ipfix::kForward, 300);
+  table.moved(6.1, one, request_class(2), ipfix::kReverse, 100);
   ledger.counted[one.value].segments = {40, 140};
   table.expire(6.5, 100);
   table.expire(9.2, 100);
-  table.moved(9.3, one, grade(1), ipfix::kForward, 10);  // again after its end: a new flow
+  table.moved(9.3, one, request_class(1), ipfix::kForward, 10);  // again after its end: a new flow
   table.closed(9.4, one, EndReason::kEnd, {{45, 144}, {0, 0}});
   const auto knock = *table.opened(9.5, {});
   table.closed(9.6, knock, EndReason::kEnd, {{3, 2}, {0, 0}});
@@ -117,8 +117,8 @@
         ledger.counted[at.value].segments[way] += 1 + octets / 1460;
         ledger.counted[at.value].segments[1 - way] += 1;
         booked[way] += octets;
-        table.moved(now, at, grade(chance() % 30), way, octets);
-        if (chance() % 4 == 0) table.request_ended(now, at, grade(chance() % 30)), ++requests;
+        table.moved(now, at, request_class(chance() % 30), way, octets);
+        if (chance() % 4 == 0) table.request_ended(now, at, request_class(chance() % 30)), ++requests;
       } else {
         table.expire(now, 5);
       }
@@ -148,11 +148,11 @@
   Ledger ledger;
   Table table({1000, 10, 60, 60}, 1, ledger);
   const auto one = *table.opened(0, {});
-  for (unsigned i = 0; i < 20; ++i) table.moved(1, one, grade(i), ipfix::kForward, 10);
+  for (unsigned i = 0; i < 20; ++i) table.moved(1, one, request_class(i), ipfix::kForward, 10);
   CHECK(table.end_some(2, EndReason::kForced, 15));
   CHECK_FALSE(table.end_some(2, EndReason::kForced, 15));
   CHECK(ledger.flows.size() == 20);
-  table.moved(3, one, grade(3), ipfix::kReverse, 5);
+  table.moved(3, one, request_class(3), ipfix::kReverse, 5);
   table.closed(4, one, EndReason::kEnd, {});
   CHECK(ledger.flows.size() == 21);
   CHECK(ledger.octets == std::array<std::uint64_t, 2>{200, 5});
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -91,10 +91,11 @@
     }
     director->list_ends(now);
   }
-  void request(const std::string& id, std::uint64_t object, int grade = 0, double size_kb = 400,
+  void request(const std::string& id, std::uint64_t object, int request_class = 0, double size_kb = 400,
                int part = 0) {
-    director->request_arrived(now, {id}, {grade}, {0}, {object}, {part},
-                              {static_cast<std::int64_t>(object % 8)}, now + 5, size_kb, false, grade == 2);
+    director->request_arrived(now, {id}, {request_class}, {0}, {object}, {part},
+                              {static_cast<std::int64_t>(object % 8)}, now + 5, size_kb, false,
+                              request_class == 2);
   }
   // The attempt's end; its time is given, the clock moves by it.
   void ends(const std::string& id, int number, Result result, AnswerDetail note = AnswerDetail::kNone,
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -21,11 +21,11 @@
   plan.world.locations = 2, plan.world.directors = 2, plan.world.caches = 3, plan.world.parents = 2;
   plan.world.cache = {8, 500, 4}, plan.world.parent = {30, 5000, 4}, plan.world.origin = {20, 1, 4};
   plan.load.rate = 300, plan.load.objects = 2000, plan.load.retries = 1;
-  GradePlan read, binding;
+  RequestClassPlan read, binding;
   read.name = "read", read.share = 8, read.size_kb = 40, read.contract = 0.2, read.stop = 2;
   binding.name = "binding", binding.effect = Effect::kBinding, binding.write = true, binding.size_kb = 10;
   binding.contract = 0.4, binding.stop = 3;
-  plan.load.grades = {read, binding};
+  plan.load.request_classes = {read, binding};
   plan.lasts = 10;
   return plan;
 }
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -102,9 +102,9 @@
 TEST_CASE("failures of our own: tried again after pauses, at the same node, which is not to blame") {
   Rig rig;
   rig.list(ListCompleteness::kFull, "c1 P1 O");
-  for (const int grade : {0, 2}) {  // a read, and a binding write: it never ran
-    const std::string request = "p" + std::to_string(grade);
-    rig.request(request, 7, grade);
+  for (const int request_class : {0, 2}) {  // a read, and a binding write: it never ran
+    const std::string request = "p" + std::to_string(request_class);
+    rig.request(request, 7, request_class);
     for (int number = 0; number < 7; ++number) {
       REQUIRE(rig.node_of[request].size() == static_cast<std::size_t>(number) + 1);
       rig.ends(request, number, Result::kLocalFailure, AnswerDetail::kNone, 0);
