--- a/benchmarks/flow_benchmark.cpp
+++ b/benchmarks/flow_benchmark.cpp
@@ -126,7 +126,7 @@
 }
 BENCHMARK(encode)->Arg(10)->Arg(9);
 
-void depot(benchmark::State& state) {
+void location(benchmark::State& state) {
   Networks networks;
   for (int i = 0; i < state.range(0); ++i)
     networks.add("10." + std::to_string(i % 256) + "." + std::to_string(i / 256 % 256) + ".0/24",
@@ -135,7 +135,7 @@
   for (auto _ : state)
     benchmark::DoNotOptimize(networks.find(boost::asio::ip::address_v4(0x0a000000u + chance() % 0x1000000u)));
 }
-BENCHMARK(depot)->Arg(100)->Arg(65536);
+BENCHMARK(location)->Arg(100)->Arg(65536);
 
 void name(benchmark::State& state) {
   Names names(3600, 65536);
--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -260,7 +260,8 @@
 
 // --- what is counted ---
 
-std::optional<ConnectionNumber> Exporter::opened(int descriptor, Part part, NameNumber node, bool inbound) {
+std::optional<ConnectionNumber> Exporter::opened(int descriptor, NodeRole part, NameNumber node,
+                                                 bool inbound) {
   const auto own = transport::Address::own(descriptor), peer = transport::Address::peer(descriptor);
   if (!own || !peer || finished_) return {};
   Ends ends;
@@ -277,14 +278,14 @@
   return number;
 }
 
-std::unique_ptr<Tap> Exporter::client(int descriptor) {
-  const auto number = opened(descriptor, Part::kClient, {}, true);
-  return number ? std::make_unique<Tap>(*this, *number, true) : nullptr;
+std::unique_ptr<FlowObserver> Exporter::client(int descriptor) {
+  const auto number = opened(descriptor, NodeRole::kClient, {}, true);
+  return number ? std::make_unique<FlowObserver>(*this, *number, true) : nullptr;
 }
 
-std::unique_ptr<Tap> Exporter::node(int descriptor, Part part, const std::string& node) {
+std::unique_ptr<FlowObserver> Exporter::node(int descriptor, NodeRole part, const std::string& node) {
   const auto number = opened(descriptor, part, name(ipfix::NameKind::kNode, node), false);
-  return number ? std::make_unique<Tap>(*this, *number, false) : nullptr;
+  return number ? std::make_unique<FlowObserver>(*this, *number, false) : nullptr;
 }
 
 NameNumber Exporter::name(ipfix::NameKind kind, const std::string& name) {
@@ -299,10 +300,10 @@
   return name(ipfix::NameKind::kRequestClass, request_class_name);
 }
 
-NameNumber Exporter::depot_of(int descriptor) {
+NameNumber Exporter::location_of(int descriptor) {
   const auto peer = transport::Address::peer(descriptor);
-  const std::string* depot = peer ? settings_.networks->find(ip_of(*peer)) : nullptr;
-  return depot ? name(ipfix::NameKind::kDepot, *depot) : NameNumber();
+  const std::string* location = peer ? settings_.networks->find(ip_of(*peer)) : nullptr;
+  return location ? name(ipfix::NameKind::kLocation, *location) : NameNumber();
 }
 
 KernelCounts Exporter::kernel(ConnectionNumber connection) {
--- a/src/flow/exporter.hpp
+++ b/src/flow/exporter.hpp
@@ -44,15 +44,15 @@
   transport::Task<> finish(Seconds until);
 
   // Begins to count a connection that has just come up. Null if there is no room for it.
-  std::unique_ptr<Tap> client(int descriptor);
-  std::unique_ptr<Tap> node(int descriptor, Part part, const std::string& node);
+  std::unique_ptr<FlowObserver> client(int descriptor);
+  std::unique_ptr<FlowObserver> node(int descriptor, NodeRole part, const std::string& node);
   // The depot of a client, by its address; the number of a service grade.
-  NameNumber depot_of(int descriptor);
+  NameNumber location_of(int descriptor);
   NameNumber request_class(const std::string& name);
   std::uint64_t octets(Direction direction) const { return table_.octets(direction); }
 
  private:
-  friend class Tap;
+  friend class FlowObserver;
   struct Receiver;
   struct Session;
   struct Stream;
@@ -67,7 +67,7 @@
   KernelCounts kernel(ConnectionNumber connection) override;
   void record(const Record& record) override;
 
-  std::optional<ConnectionNumber> opened(int descriptor, Part part, NameNumber node, bool inbound);
+  std::optional<ConnectionNumber> opened(int descriptor, NodeRole part, NameNumber node, bool inbound);
   NameNumber name(ipfix::NameKind kind, const std::string& name);
   Seconds now() const { return clock_.now(); }
   Stream& stream(Protocol protocol);
--- a/src/flow/table.hpp
+++ b/src/flow/table.hpp
@@ -27,7 +27,7 @@
 using ipfix::EndReason;
 using ipfix::Label;
 using ipfix::NameNumber;
-using ipfix::Part;
+using ipfix::NodeRole;
 using ipfix::Record;
 using Seconds = double;
 
@@ -39,7 +39,7 @@
 
 struct Ends {
   Endpoint initiator, responder;
-  Part part = Part::kUnknown;
+  NodeRole part = NodeRole::kUnknown;
   NameNumber node;
 };
 
--- a/src/flow/tap.hpp
+++ b/src/flow/tap.hpp
@@ -12,10 +12,10 @@
 
 class Exporter;
 
-class Tap : public transport::SocketObserver {
+class FlowObserver : public transport::SocketObserver {
  public:
   // inbound: the other side has set the connection up.
-  Tap(Exporter& exporter, ConnectionNumber connection, bool inbound);
+  FlowObserver(Exporter& exporter, ConnectionNumber connection, bool inbound);
 
   // Of what was read, so many octets belong to this label.
   void read_for(const Label& label, std::size_t octets);
--- a/src/flows_tool/archive.cpp
+++ b/src/flows_tool/archive.cpp
@@ -336,7 +336,7 @@
                                                  static_cast<std::uint64_t>(row.part),
                                                  static_cast<std::uint64_t>(row.outcome),
                                                  static_cast<std::uint64_t>(row.note),
-                                                 row.depot,
+                                                 row.location,
                                                  row.node,
                                                  row.request_class,
                                                  row.requests,
@@ -436,7 +436,7 @@
       ReportLine one;
       for (const By by : query.by) {
         switch (by) {
-          case By::kDepot:
+          case By::kLocation:
             one.keys.push_back(named(1, 2));
             break;
           case By::kNode:
--- a/src/flows_tool/archive.hpp
+++ b/src/flows_tool/archive.hpp
@@ -157,7 +157,7 @@
 std::vector<std::string> partitions(const std::string& directory);
 
 // What a report groups by.
-enum class By { kDepot, kRequestClass, kNode, kPart, kOutcome, kNote, kExporter, kTime };
+enum class By { kLocation, kRequestClass, kNode, kPart, kOutcome, kNote, kExporter, kTime };
 
 struct ReportLine {
   std::vector<std::string> keys;
--- a/src/flows_tool/main.cpp
+++ b/src/flows_tool/main.cpp
@@ -76,7 +76,7 @@
   return 0;
 }
 
-const std::map<std::string, By> kBy = {{"depot", By::kDepot},       {"grade", By::kRequestClass},
+const std::map<std::string, By> kBy = {{"depot", By::kLocation},    {"grade", By::kRequestClass},
                                        {"node", By::kNode},         {"part", By::kPart},
                                        {"outcome", By::kOutcome},   {"note", By::kNote},
                                        {"exporter", By::kExporter}, {"time", By::kTime}};
--- a/src/flows_tool/rows.cpp
+++ b/src/flows_tool/rows.cpp
@@ -177,8 +177,8 @@
     const int way = value.key.reverse ? 1 : 0;
     if (const auto own = own_.find(value.key); own != own_.end()) {
       switch (own->second) {
-        case Own::kDepot:
-          row.depot = static_cast<std::uint32_t>(number);
+        case Own::kLocation:
+          row.location = static_cast<std::uint32_t>(number);
           break;
         case Own::kNode:
           row.node = static_cast<std::uint32_t>(number);
--- a/src/flows_tool/rows.hpp
+++ b/src/flows_tool/rows.hpp
@@ -18,7 +18,7 @@
   std::uint16_t initiator_port = 0, responder_port = 0;
   double start = 0, end = 0;  // Unix seconds
   int reason = 0, part = 0, outcome = 0, note = 0;
-  std::uint32_t depot = 0, node = 0, request_class = 0, requests = 0;
+  std::uint32_t location = 0, node = 0, request_class = 0, requests = 0;
   std::uint64_t octets[2] = {0, 0}, packets[2] = {0, 0}, wire[2] = {0, 0}, total[2] = {0, 0};
   bool has_payload = false;  // the exporter tells octets of payload; else those on the wire stand for them
 };
@@ -52,7 +52,7 @@
 
  private:
   enum class Own {
-    kDepot,
+    kLocation,
     kNode,
     kRequestClass,
     kPart,
--- a/src/ipfix/elements.cpp
+++ b/src/ipfix/elements.cpp
@@ -3,10 +3,10 @@
 namespace hareramp::ipfix {
 
 const std::array<OwnElement, 13> kOwnElements = {{
-    {kDepotReference, "depotReference", DataType::kUnsigned32, Semantics::kIdentifier, Units::kNone},
+    {kLocationReference, "depotReference", DataType::kUnsigned32, Semantics::kIdentifier, Units::kNone},
     {kNodeReference, "nodeReference", DataType::kUnsigned32, Semantics::kIdentifier, Units::kNone},
     {kRequestClassReference, "gradeReference", DataType::kUnsigned32, Semantics::kIdentifier, Units::kNone},
-    {kNodePart, "nodePart", DataType::kUnsigned8, Semantics::kIdentifier, Units::kNone},
+    {kNodeRole, "nodePart", DataType::kUnsigned8, Semantics::kIdentifier, Units::kNone},
     {kRequestOutcome, "requestOutcome", DataType::kUnsigned8, Semantics::kIdentifier, Units::kNone},
     {kCacheNote, "cacheNote", DataType::kUnsigned8, Semantics::kIdentifier, Units::kNone},
     {kRequestDeltaCount, "requestDeltaCount", DataType::kUnsigned32, Semantics::kDeltaCounter, Units::kNone},
--- a/src/ipfix/elements.hpp
+++ b/src/ipfix/elements.hpp
@@ -42,10 +42,10 @@
 
 // Numbers under the operator's enterprise number. A number, once given out, keeps its meaning.
 enum Own : std::uint16_t {
-  kDepotReference = 1,
+  kLocationReference = 1,
   kNodeReference = 2,
   kRequestClassReference = 3,
-  kNodePart = 4,
+  kNodeRole = 4,
   kRequestOutcome = 5,
   kCacheNote = 6,
   kRequestDeltaCount = 7,
--- a/src/ipfix/encoder.cpp
+++ b/src/ipfix/encoder.cpp
@@ -114,10 +114,10 @@
   out.reverse(1, r.delta.wire[kReverse]);
   out.own(kPayloadOctetTotal, r.total.octets[kForward]);
   out.own(kReversePayloadOctetTotal, r.total.octets[kReverse]);
-  out.own(kDepotReference, r.label.depot.value);
+  out.own(kLocationReference, r.label.location.value);
   out.own(kNodeReference, r.node.value);
   out.own(kRequestClassReference, r.label.request_class.value);
-  out.own(kNodePart, static_cast<std::uint8_t>(r.part));
+  out.own(kNodeRole, static_cast<std::uint8_t>(r.part));
   out.own(kRequestOutcome, static_cast<std::uint8_t>(r.label.outcome));
   out.own(kCacheNote, r.label.note);
   out.own(kRequestDeltaCount, r.requests);
@@ -196,10 +196,10 @@
   out.iana(static_cast<std::uint16_t>(kOwn9 + 41), r.delta.octets[kReverse]);
   out.iana(own(kPayloadOctetTotal), r.total.octets[kForward]);
   out.iana(own(kReversePayloadOctetTotal), r.total.octets[kReverse]);
-  out.iana(own(kDepotReference), r.label.depot.value);
+  out.iana(own(kLocationReference), r.label.location.value);
   out.iana(own(kNodeReference), r.node.value);
   out.iana(own(kRequestClassReference), r.label.request_class.value);
-  out.iana(own(kNodePart), static_cast<std::uint8_t>(r.part));
+  out.iana(own(kNodeRole), static_cast<std::uint8_t>(r.part));
   out.iana(own(kRequestOutcome), static_cast<std::uint8_t>(r.label.outcome));
   out.iana(own(kCacheNote), r.label.note);
   out.iana(own(kRequestDeltaCount), r.requests);
@@ -243,7 +243,7 @@
   v6.v6 = true;
   add(list.data, kFlowV4, 0, [&](auto& out) { flow_fields(out, record, false); });
   add(list.data, kFlowV6, 0, [&](auto& out) { flow_fields(out, record, true); });
-  add(list.options, kNames, 2, [&](auto& out) { name_fields(out, NameKind::kDepot, {}, ""); });
+  add(list.options, kNames, 2, [&](auto& out) { name_fields(out, NameKind::kLocation, {}, ""); });
   add(list.options, kNotSentV4, 2, [&](auto& out) { not_sent_fields(out, Endpoint(), {}); });
   add(list.options, kNotSentV6, 2, [&](auto& out) { not_sent_fields(out, v6, {}); });
   add(list.options, kExporterFigures, 1, [&](auto& out) { exporter_fields(out, 0, 0, 0, 0, 0); });
@@ -383,7 +383,7 @@
     append(now, kTemplateSet9, bytes);
   }
   Fields fields(0);
-  name_fields9(fields, 0, NameKind::kDepot, {}, name);
+  name_fields9(fields, 0, NameKind::kLocation, {}, name);
   std::string bytes;
   put(bytes, std::uint16_t{kNames});
   put(bytes, std::uint16_t{4});                                         // bytes of the scope's fields
--- a/src/ipfix/encoder.hpp
+++ b/src/ipfix/encoder.hpp
@@ -16,7 +16,7 @@
 enum class Version : std::uint16_t { kNetflow9 = 9, kIpfix = 10 };
 
 // nameKind
-enum class NameKind : std::uint8_t { kDepot = 1, kNode = 2, kRequestClass = 3 };
+enum class NameKind : std::uint8_t { kLocation = 1, kNode = 2, kRequestClass = 3 };
 
 // A finished message with what is in it, for whoever has to account for its loss.
 struct Message {
--- a/src/ipfix/record.hpp
+++ b/src/ipfix/record.hpp
@@ -23,7 +23,7 @@
 };
 
 // What the other side of the connection is.
-enum class Part : std::uint8_t { kUnknown, kClient, kEdge, kParent, kOrigin };
+enum class NodeRole : std::uint8_t { kUnknown, kClient, kEdge, kParent, kOrigin };
 // kNone: octets that belong to no request. For an attempt: completed, may be repeated without harm, no
 // promise, called off.
 enum class Outcome : std::uint8_t { kNone, kCompleted, kBounced, kForfeited, kLeft };
@@ -32,7 +32,7 @@
 
 // What divides the traffic of one connection into flows.
 struct Label {
-  NameNumber request_class, depot;  // depot: the network of the client that asked
+  NameNumber request_class, location;  // depot: the network of the client that asked
   Outcome outcome = Outcome::kNone;
   std::uint8_t note = 0;  // where the answer came from, in the order of the protocol's notes; 0: not told
   bool operator==(const Label&) const = default;
@@ -49,7 +49,7 @@
 
 struct Record {
   Endpoint initiator, responder;
-  Part part = Part::kUnknown;
+  NodeRole part = NodeRole::kUnknown;
   NameNumber node;
   Label label;
   std::uint64_t id = 0;        // the same in all records of a flow
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -14,7 +14,7 @@
 // What a request says of itself; it goes on as the client worded it.
 struct ForwardedRequest {
   std::string lane, name, piece, cached, body;
-  std::uint32_t request_class_number = 0, depot_number = 0;  // for flow records alone; not worded
+  std::uint32_t request_class_number = 0, location_number = 0;  // for flow records alone; not worded
   // Set by the client's connection once the client has closed, reset or left it; not worded. From then on no
   // attempt for the request begins.
   bool client_gone = false;
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -89,10 +89,10 @@
       resumed_(listener.scheduler_),
       moved_at_(Scheduler::now()) {
   if (!listener.flows_) return;
-  depot_ = listener.flows_->depot_of(socket_.descriptor());
+  location_ = listener.flows_->location_of(socket_.descriptor());
   auto tap = listener.flows_->client(socket_.descriptor());
-  tap_ = tap.get();
-  if (tap_) tap_->writing_for({});
+  flow_observer_ = tap.get();
+  if (flow_observer_) flow_observer_->writing_for({});
   socket_.observe(std::move(tap));
 }
 
@@ -269,15 +269,15 @@
 }
 
 void ClientConnection::label(ipfix::Outcome outcome, AnswerDetail note) {
-  if (!tap_) return;
+  if (!flow_observer_) return;
   ipfix::Label label;
   if (outcome != ipfix::Outcome::kNone)
-    label = {request_class_, depot_, outcome, static_cast<std::uint8_t>(note)};
+    label = {request_class_, location_, outcome, static_cast<std::uint8_t>(note)};
   else
-    label.depot = depot_;
-  tap_->read_for(label, std::exchange(request_bytes_, 0));
-  tap_->writing_for(label);
-  if (outcome != ipfix::Outcome::kNone) tap_->request_ended(label);
+    label.location = location_;
+  flow_observer_->read_for(label, std::exchange(request_bytes_, 0));
+  flow_observer_->writing_for(label);
+  if (outcome != ipfix::Outcome::kNone) flow_observer_->request_ended(label);
 }
 
 void ClientConnection::answer(int status, std::string_view more, std::string bytes, ipfix::Outcome outcome,
@@ -374,7 +374,7 @@
   if (!io.ok()) {
     // Guards against a client that does not read: what it was sent is not whole, and it can tell.
     if (io.end == IoEnd::kTimedOut) ++self->listener_.counters_.clients_slow;
-    self->tap_ = nullptr;
+    self->flow_observer_ = nullptr;
     self->socket_.abort();
     self->leave();
     co_return;
@@ -414,7 +414,7 @@
   } catch (...) {  // no memory: the request ends by its deadline, unheard
     listener_.report(std::current_exception());
   }
-  tap_ = nullptr;  // goes with the socket
+  flow_observer_ = nullptr;  // goes with the socket
   discard_unread(socket_);
   socket_.close();
   resumed_.notify();
--- a/src/routing/client_connection.hpp
+++ b/src/routing/client_connection.hpp
@@ -102,9 +102,9 @@
   bool shown_ = false;    // a whole request of a kind that is served here has come
   Seconds linger_until_ = 0;
   bool ended_ = false;
-  flow::Tap* tap_ = nullptr;                 // in the socket, as long as that is open
-  ipfix::NameNumber depot_, request_class_;  // of the request that is open
-  std::size_t request_bytes_ = 0;            // of the wire
+  flow::FlowObserver* flow_observer_ = nullptr;  // in the socket, as long as that is open
+  ipfix::NameNumber location_, request_class_;   // of the request that is open
+  std::size_t request_bytes_ = 0;                // of the wire
 };
 
 }  // namespace hareramp::routing
--- a/src/routing/client_request.cpp
+++ b/src/routing/client_request.cpp
@@ -151,10 +151,10 @@
   forwarded_request->piece = target->piece;
   forwarded_request->cached = std::move(http_request_.cached);
   forwarded_request->body = std::move(http_request_.body);
-  if (tap_) {
+  if (flow_observer_) {
     request_class_ = listener_.flows_->request_class(forwarded_request->lane);
     forwarded_request->request_class_number = request_class_.value;
-    forwarded_request->depot_number = depot_.value;
+    forwarded_request->location_number = location_.value;
   }
   const Limits& limits = listener_.limits_;
   // A request read after a pause may have waited for all of it, and its client's time began with the sending.
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -79,18 +79,18 @@
     const auto found = std::find(names.begin(), names.end(), name);
     return found == names.end() ? -1 : static_cast<int>(found - names.begin());
   }
-  ipfix::Part part_of(const std::string& kind) const {
+  ipfix::NodeRole node_role_of(const std::string& kind) const {
     const std::string place = std::to_string(index(module_.names_.kinds, kind));
-    return place == module_.origin_kind_   ? ipfix::Part::kOrigin
-           : place == module_.parent_kind_ ? ipfix::Part::kParent
-                                           : ipfix::Part::kEdge;
+    return place == module_.origin_kind_   ? ipfix::NodeRole::kOrigin
+           : place == module_.parent_kind_ ? ipfix::NodeRole::kParent
+                                           : ipfix::NodeRole::kEdge;
   }
   void connect(const NodeId& node, transport::Address address, const std::string& kind) {
     auto& peer = module_.upstream_nodes_[node];
     if (!peer) {
       peer = std::make_shared<UpstreamNode>(module_.scheduler_, module_.limits_, module_.counters_,
                                             module_.links_, node, address, module_, module_.flows_,
-                                            part_of(kind));
+                                            node_role_of(kind));
       peer->start();
     } else if (!(module_.addresses_[node] == address)) {
       peer->moved(address);
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -63,7 +63,7 @@
   std::weak_ptr<UpstreamConnection> self;
   State state = State::kConnecting;
   transport::Socket socket;
-  flow::Tap* tap = nullptr;  // in the socket, as long as that is open
+  flow::FlowObserver* tap = nullptr;  // in the socket, as long as that is open
   transport::Buffer in;
   protocol::AnswerParser parser;
   std::deque<UpstreamMessage> out;
@@ -81,7 +81,7 @@
 
 UpstreamNode::UpstreamNode(Scheduler& scheduler, const Limits& limits, Counters& counters, std::size_t& links,
                            NodeId node, transport::Address address, Attempts& told, flow::Exporter* flows,
-                           ipfix::Part part)
+                           ipfix::NodeRole part)
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
@@ -169,7 +169,7 @@
   Open open;
   open.number = number;
   open.request_class = {message.forwarded_request->request_class_number};
-  open.depot = {message.forwarded_request->depot_number};
+  open.location = {message.forwarded_request->location_number};
   open.timer = watch(request, number, std::min(give_up_at, now + limits_.begin_within), give_up_at);
   link->open.emplace(request, open);
   link->out.push_back(std::move(message));
@@ -340,7 +340,7 @@
     outcome = Outcome::kBounced;
   const std::size_t written = std::exchange(open.octets, 0);
   if (written + octets_read == 0) return;  // nothing of it moved, or it is booked already
-  const ipfix::Label label{open.request_class, open.depot, outcome, static_cast<std::uint8_t>(note)};
+  const ipfix::Label label{open.request_class, open.location, outcome, static_cast<std::uint8_t>(note)};
   link.tap->wrote_for(label, written);
   link.tap->read_for(label, octets_read);
   link.tap->request_ended(label);
--- a/src/routing/upstream_node.hpp
+++ b/src/routing/upstream_node.hpp
@@ -44,7 +44,7 @@
   // links counts the connections to all nodes together.
   UpstreamNode(transport::Scheduler& scheduler, const Limits& limits, Counters& counters, std::size_t& links,
                NodeId node, transport::Address address, Attempts& told, flow::Exporter* flows = nullptr,
-               ipfix::Part part = ipfix::Part::kUnknown);
+               ipfix::NodeRole part = ipfix::NodeRole::kUnknown);
 
   void start();
   // Each of these only posts; the actor acts on them in order.
@@ -61,7 +61,7 @@
     transport::Scheduler::TimerKey timer;
     Seconds written_at = 0;
     bool written = false, moved_on = false;
-    ipfix::NameNumber request_class, depot;  // for flow records, as is what was written of it
+    ipfix::NameNumber request_class, location;  // for flow records, as is what was written of it
     std::size_t octets = 0;
   };
   class UpstreamConnection;
@@ -108,7 +108,7 @@
   transport::Address address_;
   Attempts& told_;
   flow::Exporter* const flows_;  // null: flows are not exported
-  const ipfix::Part part_;
+  const ipfix::NodeRole part_;
   transport::Mailbox mailbox_;
   std::list<ConnectionPointer> links_;
   bool gone_ = false;
--- a/tests/flow/delivery_test.cpp
+++ b/tests/flow/delivery_test.cpp
@@ -130,10 +130,10 @@
   CHECK(number == one.number(1, ipfix::NameKind::kNode, "s-00c41f7a", count));
   CHECK(told == 2);
   CHECK(one.number(1, ipfix::NameKind::kNode, "", count).value == 0);
-  CHECK(one.number(1, ipfix::NameKind::kDepot, "a", count).value != 0);
-  CHECK(one.number(1, ipfix::NameKind::kDepot, "b", count).value != 0);
-  CHECK(one.number(1, ipfix::NameKind::kDepot, "c", count).value == 0);
+  CHECK(one.number(1, ipfix::NameKind::kLocation, "a", count).value != 0);
+  CHECK(one.number(1, ipfix::NameKind::kLocation, "b", count).value != 0);
+  CHECK(one.number(1, ipfix::NameKind::kLocation, "c", count).value == 0);
   one.forget(101.5);
   CHECK(one.size() == 0);
-  CHECK(one.number(200, ipfix::NameKind::kDepot, "c", count).value != 0);
+  CHECK(one.number(200, ipfix::NameKind::kLocation, "c", count).value != 0);
 }
--- a/tests/flow/encoder_test.cpp
+++ b/tests/flow/encoder_test.cpp
@@ -26,7 +26,7 @@
     r.initiator.address[i] = static_cast<std::uint8_t>(i + 1),
     r.responder.address[i] = static_cast<std::uint8_t>(0xf0 + i);
   r.initiator.port = 40000, r.responder.port = 443;
-  r.part = Part::kParent;
+  r.part = NodeRole::kParent;
   r.node = {0xfedcba98u};
   r.label = {{11}, {22}, Outcome::kForfeited, 7};
   r.start = 1796147672.125, r.end = 1796147680.5;
@@ -68,8 +68,8 @@
       "{} octets "
       "{}/{} packets {}/{} wire {}/{} total {}/{}\n",
       r.id, r.initiator, r.initiator_port, r.responder, r.responder_port, r.start, r.end, r.reason, r.part,
-      r.outcome, r.note, r.depot, r.node, r.request_class, r.requests, r.octets[0], r.octets[1], r.packets[0],
-      r.packets[1], r.wire[0], r.wire[1], r.total[0], r.total[1]);
+      r.outcome, r.note, r.location, r.node, r.request_class, r.requests, r.octets[0], r.octets[1],
+      r.packets[0], r.packets[1], r.wire[0], r.wire[1], r.total[0], r.total[1]);
 }
 
 EncoderSettings settings(Version version, std::size_t bytes = 1400) {
@@ -93,7 +93,7 @@
     encoder.templates(kNow);
     for (const bool v6 : {false, true, false}) encoder.flow(kNow, sample(5, v6));
     encoder.name(kNow, NameKind::kRequestClass, {11}, "scan-batches");
-    encoder.name(kNow, NameKind::kDepot, {22}, "north");
+    encoder.name(kNow, NameKind::kLocation, {22}, "north");
     Endpoint to;
     to.address = {127, 0, 0, 1}, to.port = 4739;
     encoder.not_sent(kNow, to, {1, 2, 3});
--- a/tests/flow/export_test.cpp
+++ b/tests/flow/export_test.cpp
@@ -169,7 +169,7 @@
 };
 
 void check_octets(const Scene& scene) {
-  const auto told = scene.sums({By::kDepot, By::kRequestClass}, "client");
+  const auto told = scene.sums({By::kLocation, By::kRequestClass}, "client");
   const auto counted = scene.counted();
   for (const auto& [key, sum] : counted) {
     REQUIRE_MESSAGE(told.contains(key), key);
@@ -207,7 +207,7 @@
       CHECK(parts.at(names[i]).in == scene.nodes[i]->octets().sent);
     }
     // Segments: a handshake, an end and a last acknowledgement may fall on either side of the last look.
-    const auto told = scene.sums({By::kDepot, By::kRequestClass}, "client");
+    const auto told = scene.sums({By::kLocation, By::kRequestClass}, "client");
     for (const auto& [key, sum] : scene.counted()) {
       const auto margin = 4 * sum.flows;
       CHECK_MESSAGE(told.at(key).packets_out + margin >= sum.packets_out, key);
@@ -315,11 +315,11 @@
   check_octets(scene);
   CHECK(scene.collecting->decoded().lost == 0);
   // And once more, from the start of the spool's cursor: what came before counts no second time.
-  const auto before = scene.sums({By::kDepot, By::kRequestClass});
+  const auto before = scene.sums({By::kLocation, By::kRequestClass});
   scene.start();
   scene.stop();
   scene.settle();
-  const auto after = scene.sums({By::kDepot, By::kRequestClass}, "client");
+  const auto after = scene.sums({By::kLocation, By::kRequestClass}, "client");
   for (const auto& [key, sum] : scene.counted()) CHECK(after.at(key).out == sum.out);
 }
 
