--- a/src/flow/tap.cpp
+++ b/src/flow/flow_observer.cpp
@@ -1,4 +1,4 @@
-#include "flow/tap.hpp"
+#include "flow/flow_observer.hpp"
 
 #include <algorithm>
 
