--- a/experiments/capacity/cold_quota.cpp
+++ b/experiments/capacity/cold_quota.cpp
@@ -20,7 +20,7 @@
 
 class CountingActions : public Actions {
  public:
-  void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill, Seconds) override {
+  void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill, Seconds) override {
     sent.push_back({request, node, fill.source});
   }
   void cancel(const RequestId&, AttemptNumber) override {}
--- a/experiments/fleet_size/node_stand_ins.cpp
+++ b/experiments/fleet_size/node_stand_ins.cpp
@@ -106,13 +106,13 @@
 }
 
 NodeStandIns::Reply NodeStandIns::fill(State& cache, const std::string& source_id, const std::string& object,
-                                       bool held_only) {
+                                       bool cached_only) {
   const auto source = numbers_.find(source_id);
   if (source == numbers_.end()) return {"AGAIN", "unreached"};
   const NodeKind kind = site_.nodes()[static_cast<std::size_t>(source->second)].kind;
   State& from = states_[static_cast<std::size_t>(source->second)];
   const bool held = kind != NodeKind::kOrigin && from.held.contains(object);
-  if (!held && (held_only || kind == NodeKind::kCache)) return {"NOENT", "absent"};
+  if (!held && (cached_only || kind == NodeKind::kCache)) return {"NOENT", "absent"};
   ++use_.fills;
   cache.held.insert(object);
   if (held) return {"ACK", "parent", kParentTime};
--- a/experiments/fleet_size/node_stand_ins.hpp
+++ b/experiments/fleet_size/node_stand_ins.hpp
@@ -48,7 +48,7 @@
   static transport::Task<> write_answer(SocketPointer socket, std::string answer);
   void serve(int node, const SocketPointer& socket, const rig::Command& command);
   Reply reply_to(int node, const std::string& fields);
-  Reply fill(State& cache, const std::string& source_id, const std::string& object, bool held_only);
+  Reply fill(State& cache, const std::string& source_id, const std::string& object, bool cached_only);
 
   transport::Scheduler& scheduler_;
   const Site& site_;
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -147,14 +147,14 @@
  public:
   WireActions(int who, std::string& reply) : who_("\tWho=" + std::to_string(who)), reply_(reply) {}
 
-  void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill,
+  void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
                Seconds time_out) override {
-    const int switches =
-        (fill.join ? 1 : 0) | (fill.held_only ? 2 : 0) | (fill.pass_parent ? 4 : 0) | (fill.renew ? 8 : 0);
+    const int switches = (fill.join ? 1 : 0) | (fill.cached_only ? 2 : 0) |
+                         (fill.bypass_parent_storage ? 4 : 0) | (fill.background_refresh ? 8 : 0);
     reply_ += "serve_via" + who_ + "\tRequestId=" + request.value + "\tNode=" + node.value +
               "\tFillFrom=" + fill.source.value + "\tRank=" + std::to_string(fill.rank) +
               "\tSwitches=" + std::to_string(switches);
-    if (fill.oldest_copy > 0) reply_ += "\tAgeSpanS=" + text_of(std::max(fill.oldest_copy, 1e-6));
+    if (fill.max_copy_age > 0) reply_ += "\tAgeSpanS=" + text_of(std::max(fill.max_copy_age, 1e-6));
     if (time_out > 0) reply_ += "\tGiveUpAfterS=" + text_of(std::max(time_out, 1e-6));
     reply_ += '\n';
   }
--- a/src/lab/world/judge.cpp
+++ b/src/lab/world/judge.cpp
@@ -182,14 +182,14 @@
       requests_.erase(id);
       return harmless ? actions_.reject(id, 1) : actions_.fail(id);
     }
-    FillTerms fill;
+    FillOptions fill;
     fill.source = source;
     fill.rank = request.write ? 0 : 1;
     fill.join = true;
-    fill.oldest_copy = request.fresh;
+    fill.max_copy_age = request.fresh;
     const auto bound = [&](Seconds at) {
       const Seconds since = std::max(now - at, 1e-5);
-      fill.oldest_copy = fill.oldest_copy > 0 ? std::min(fill.oldest_copy, since) : since;
+      fill.max_copy_age = fill.max_copy_age > 0 ? std::min(fill.max_copy_age, since) : since;
     };
     if (const auto found = purged_objects_.find(request.object); found != purged_objects_.end())
       bound(found->second);
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -167,7 +167,7 @@
   std::uint64_t id = 0, request = 0;
   std::uint32_t director = 0, node = 0, source = 0;
   int number = 0, rank = 0;
-  bool out = true, join = false, held_only = false, counted = false, at_source = false, filling = false;
+  bool out = true, join = false, cached_only = false, counted = false, at_source = false, filling = false;
   std::uint64_t unit = 0, object = 0;
   Seconds sent = 0, oldest = 0, copy_at = 0, waited_from = 0, told_drain = 0, given_up = 0;
   std::uint32_t node_life = 0, source_life = 0;
@@ -192,7 +192,7 @@
 class Host : public Actions {
  public:
   Host(World& world, std::uint32_t number) : world_(world), number_(number) {}
-  void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill,
+  void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
                Seconds time_out) override;
   void cancel(const RequestId& request, AttemptNumber number) override;
   void reject(const RequestId& request, Seconds retry_after) override;
@@ -248,7 +248,8 @@
   }
 
   // --- what directors ask for ---
-  void attempt(Host& host, const RequestId& id, const NodeId& node, const FillTerms& fill, Seconds time_out) {
+  void attempt(Host& host, const RequestId& id, const NodeId& node, const FillOptions& fill,
+               Seconds time_out) {
     const std::uint64_t number = request_number(id);
     Request& request = requests_.at(number);
     send(host, number, request, node, fill, time_out);
@@ -465,7 +466,7 @@
   }
 
   // --- attempts ---
-  void send(Host& host, std::uint64_t number, Request& request, const NodeId& node, const FillTerms& fill,
+  void send(Host& host, std::uint64_t number, Request& request, const NodeId& node, const FillOptions& fill,
             Seconds time_out) {
     Attempt attempt;
     attempt.id = next_attempt_++;
@@ -479,10 +480,10 @@
     const auto source = by_id_.find(fill.source.value);
     attempt.source = source == by_id_.end() ? attempt.node : source->second;
     attempt.number = static_cast<int>(request.attempts.size());
-    attempt.rank = fill.rank, attempt.join = fill.join, attempt.held_only = fill.held_only;
+    attempt.rank = fill.rank, attempt.join = fill.join, attempt.cached_only = fill.cached_only;
     attempt.object = request.object, attempt.unit = hashed(request.object, request.request_class);
     attempt.sent = now_;
-    attempt.oldest = mutant_ == Mutant::kIgnoresPurge ? request_class(request).fresh : fill.oldest_copy;
+    attempt.oldest = mutant_ == Mutant::kIgnoresPurge ? request_class(request).fresh : fill.max_copy_age;
     attempt.told_drain = host.drain_told[attempt.node];
     request.attempts.push_back(attempt.id);
     ++attempt_count_;
@@ -665,7 +666,7 @@
       attempt->copy_at = copy->given_out, attempt->note = AnswerDetail::kFilled;
       return transfer(attempt->source, *attempt);
     }
-    if (attempt->held_only || source.kind == 0) {
+    if (attempt->cached_only || source.kind == 0) {
       --source.held;
       attempt->at_source = false;
       return fill_failed(*attempt, Result::kAbsent, AnswerDetail::kSourceMissed);
@@ -1060,7 +1061,7 @@
   Day day_;
 };
 
-void Host::attempt(const RequestId& request, const NodeId& node, const FillTerms& fill, Seconds time_out) {
+void Host::attempt(const RequestId& request, const NodeId& node, const FillOptions& fill, Seconds time_out) {
   world_.attempt(*this, request, node, fill, time_out);
 }
 void Host::cancel(const RequestId& request, AttemptNumber number) { world_.cancel(*this, request, number); }
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -566,7 +566,7 @@
     return rate > 0 && bytes / kHotSpan > kHotShare * rate;
   }
 
-  Seconds oldest_copy(const Request& p) {
+  Seconds max_copy_age(const Request& p) {
     const RequestClass& request_class = request_class_of(p);
     Seconds bound = request_class.fresh > 0 && p.stale_will_do ? request_class.fresh + request_class.grace
                                                                : request_class.fresh;
@@ -767,12 +767,12 @@
     if (is_origin(way.node) && usual_wait.heard())
       off.patience = wait + std::max(usual_wait.mean(), kLeastWait);
     const int rank = is_write(p) ? 0 : p.hot ? 3 : p.known ? 2 : 1;
-    const FillTerms fill = {.source = name[way.source],
-                            .rank = rank,
-                            .oldest_copy = oldest_copy(p),
-                            .join = can_join,
-                            .held_only = is_parent(way.source) && !origin_open(p),
-                            .renew = request_class_of(p).fresh > 0};
+    const FillOptions fill = {.source = name[way.source],
+                              .rank = rank,
+                              .max_copy_age = max_copy_age(p),
+                              .join = can_join,
+                              .cached_only = is_parent(way.source) && !origin_open(p),
+                              .background_refresh = request_class_of(p).fresh > 0};
     const bool repeatable = request_class_of(p).effect == Effect::kRetriable;
     const bool call_back = second_copies || may_cancel;
     const Seconds window =
@@ -1156,10 +1156,10 @@
     : state_(std::make_unique<State>(now, std::move(settings), seed, actions)) {}
 Director::~Director() = default;
 std::size_t Director::nodes_known() const { return state_->index.size(); }
-Seconds Director::oldest_copy(Seconds now, const RequestId& id) {
+Seconds Director::max_copy_age(Seconds now, const RequestId& id) {
   State& m = state_->at(now);
   const Request* request = m.held(id);
-  return request ? m.oldest_copy(*request) : 0;
+  return request ? m.max_copy_age(*request) : 0;
 }
 
 void Director::list_starts(Seconds now, ListCompleteness scope) {
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -63,21 +63,21 @@
 enum class ListCompleteness { kChanges, kFull, kCached, kFailed };
 
 // How a miss is filled and what is kept of it.
-struct FillTerms {
-  NodeId source;            // the node itself: no fill
-  int rank = 0;             // 0 passes the object through; the lowest rank is dropped first
-  Seconds oldest_copy = 0;  // 0 leaves it to the grade's fresh time
+struct FillOptions {
+  NodeId source;             // the node itself: no fill
+  int rank = 0;              // 0 passes the object through; the lowest rank is dropped first
+  Seconds max_copy_age = 0;  // 0 leaves it to the grade's fresh time
   bool join = false;
-  bool held_only = false;
-  bool pass_parent = false;
-  bool renew = false;
+  bool cached_only = false;
+  bool bypass_parent_storage = false;
+  bool background_refresh = false;
 };
 
 // What the module can have done. Only called from within a call of Director.
 class Actions {
  public:
   virtual ~Actions() = default;
-  virtual void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill,
+  virtual void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
                        Seconds time_out) = 0;
   virtual void cancel(const RequestId& request, AttemptNumber number) = 0;
   virtual void reject(const RequestId& request, Seconds retry_after) = 0;
@@ -122,7 +122,7 @@
 
   // The oldest copy that will do for a request now: it may be less than when the attempt was decided on,
   // where a purge has come since. 0 where any age will do, or the request is not known (any more).
-  Seconds oldest_copy(Seconds now, const RequestId& request);
+  Seconds max_copy_age(Seconds now, const RequestId& request);
 
   // Those listed, and those gone whose figures are still needed.
   std::size_t nodes_known() const;
--- a/src/protocol/lines.cpp
+++ b/src/protocol/lines.cpp
@@ -41,7 +41,7 @@
 }  // namespace
 
 std::string serve_line(const RequestId& request, const ForwardedRequest& forwarded_request, Seconds wait,
-                       const NodeId& node, const FillTerms& fill) {
+                       const NodeId& node, const FillOptions& fill) {
   std::string line;
   const auto add = [&](const auto&... parts) { ((line += parts), ...); };
   add("serve ", request.value, " lane=", forwarded_request.lane, ",name=", forwarded_request.name);
@@ -50,15 +50,15 @@
   if (fill.source != node) add(",next=", fill.source.value);
   if (fill.rank > 0) add(",admit=", std::to_string(fill.rank));
   // Rounded down: a copy must never be older than was meant.
-  if (fill.oldest_copy > 0) add(",agelim=", std::to_string(milliseconds(fill.oldest_copy)));
+  if (fill.max_copy_age > 0) add(",agelim=", std::to_string(milliseconds(fill.max_copy_age)));
   const char* mark = ",ways=";
   const auto way = [&](bool wanted, const char* word) {
     if (wanted) add(std::exchange(mark, "+"), word);
   };
   way(fill.join, "ride");
-  way(fill.held_only, "have-only");
-  way(fill.pass_parent, "through");
-  way(fill.renew, "update");
+  way(fill.cached_only, "have-only");
+  way(fill.bypass_parent_storage, "through");
+  way(fill.background_refresh, "update");
   if (!forwarded_request.cached.empty()) add(",cached=", forwarded_request.cached);
   add(" ", std::to_string(forwarded_request.body.size()), "\r\n", forwarded_request.body, "\r\n");
   return line;
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -21,7 +21,7 @@
 };
 
 std::string serve_line(const RequestId& request, const ForwardedRequest& forwarded_request, Seconds wait,
-                       const NodeId& node, const FillTerms& fill);
+                       const NodeId& node, const FillOptions& fill);
 std::string cancel_line(const RequestId& request);
 
 class AnswerHandler {
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -338,7 +338,7 @@
   }
 }
 
-void DirectorActor::attempt(const RequestId& id, const NodeId& node, const FillTerms& fill,
+void DirectorActor::attempt(const RequestId& id, const NodeId& node, const FillOptions& fill,
                             Seconds time_out) {
   Request* request = owed(id);
   if (!request) return;
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -68,8 +68,8 @@
   void turned_back() { ++counters_.taken, ++counters_.bounced, ++counters_.turned_back; }
   void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
              AnswerDetail note, Seconds waited, LoadReport report, Content content) override;
-  Seconds oldest_copy(const RequestId& request) override {
-    return director_->oldest_copy(clock_.now(), request);
+  Seconds max_copy_age(const RequestId& request) override {
+    return director_->max_copy_age(clock_.now(), request);
   }
 
  private:
@@ -104,7 +104,7 @@
   static transport::Task<> hear(DirectorActor& self);
 
   // Actions, called from within the director.
-  void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill,
+  void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
                Seconds time_out) override;
   void cancel(const RequestId& request, AttemptNumber number) override;
   void reject(const RequestId& request, Seconds retry_after) override;
--- a/src/routing/upstream_message.cpp
+++ b/src/routing/upstream_message.cpp
@@ -20,7 +20,7 @@
 
 UpstreamMessage UpstreamMessage::attempt(const RequestId& request,
                                          std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
-                                         const FillTerms& fill, Seconds give_up_at) {
+                                         const FillOptions& fill, Seconds give_up_at) {
   UpstreamMessage message;
   message.request = request;
   message.forwarded_request = std::move(forwarded_request);
@@ -39,10 +39,10 @@
   return !forwarded_request || (now < give_up_at && !forwarded_request->client_gone);
 }
 
-void UpstreamMessage::encode(Seconds now, const NodeId& node, Seconds oldest_copy, bool hold_back_end) {
+void UpstreamMessage::encode(Seconds now, const NodeId& node, Seconds max_copy_age, bool hold_back_end) {
   if (!forwarded_request) return;
-  FillTerms terms = fill;
-  terms.oldest_copy = stricter(fill.oldest_copy, oldest_copy);
+  FillOptions terms = fill;
+  terms.max_copy_age = stricter(fill.max_copy_age, max_copy_age);
   bytes = protocol::serve_line(request, *forwarded_request, give_up_at - now, node, terms);
   held = hold_back_end && !forwarded_request->body.empty() ? kHeldBytes : 0;
   whole_at = 0;
--- a/src/routing/upstream_message.hpp
+++ b/src/routing/upstream_message.hpp
@@ -17,7 +17,7 @@
 struct UpstreamMessage {
   static UpstreamMessage attempt(const RequestId& request,
                                  std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
-                                 const FillTerms& fill, Seconds give_up_at);
+                                 const FillOptions& fill, Seconds give_up_at);
   static UpstreamMessage cancel(const RequestId& request);
 
   // Whether its first byte may be written at this time (of the scheduler): an attempt has time left, and its
@@ -26,7 +26,7 @@
   // Makes the bytes of an attempt as they must read if the first is written now. oldest_copy is what the
   // module says at this moment, 0 for any age; it can only make the bound of the fill terms stricter.
   // hold_back_end: the last bytes of a write are to be held back for a moment.
-  void encode(Seconds now, const NodeId& node, Seconds oldest_copy, bool hold_back_end);
+  void encode(Seconds now, const NodeId& node, Seconds max_copy_age, bool hold_back_end);
 
   std::string bytes;
   RequestId request;     // empty: a cancel, which nobody waits for
@@ -35,7 +35,7 @@
 
   // Of an attempt alone.
   std::shared_ptr<const protocol::ForwardedRequest> forwarded_request;
-  FillTerms fill;
+  FillOptions fill;
   Seconds give_up_at = 0;  // the scheduler's time
 };
 
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -99,7 +99,7 @@
 
 void UpstreamNode::attempt(const RequestId& request, AttemptNumber number,
                            std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
-                           const FillTerms& fill, Seconds give_up_at) {
+                           const FillOptions& fill, Seconds give_up_at) {
   mailbox_.post(
       [this, number,
        message = UpstreamMessage::attempt(request, std::move(forwarded_request), fill,
@@ -367,7 +367,7 @@
   const Seconds now = Scheduler::now();
   if (message.may_begin(now)) {
     if (message.forwarded_request)
-      message.encode(now, node_, told_.oldest_copy(message.request), limits_.hold_back > 0);
+      message.encode(now, node_, told_.max_copy_age(message.request), limits_.hold_back > 0);
     return true;
   }
   const RequestId request = message.request;
--- a/src/routing/upstream_node.hpp
+++ b/src/routing/upstream_node.hpp
@@ -36,7 +36,7 @@
                      AnswerDetail note, Seconds waited, LoadReport report, Content content) = 0;
   // The oldest copy that will do for the request at this moment (Director::oldest_copy). Asked when the first
   // byte of an attempt is about to be written.
-  virtual Seconds oldest_copy(const RequestId& request) = 0;
+  virtual Seconds max_copy_age(const RequestId& request) = 0;
 };
 
 class UpstreamNode : public std::enable_shared_from_this<UpstreamNode> {
@@ -49,7 +49,7 @@
   void start();
   // Each of these only posts; the actor acts on them in order.
   void attempt(const RequestId& request, AttemptNumber number,
-               std::shared_ptr<const protocol::ForwardedRequest> forwarded_request, const FillTerms& fill,
+               std::shared_ptr<const protocol::ForwardedRequest> forwarded_request, const FillOptions& fill,
                Seconds give_up_at);
   void cancel(const RequestId& request, AttemptNumber number);
   void moved(transport::Address address);
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -118,17 +118,17 @@
   std::string taken() { return std::exchange(trace, ""); }
   void say(const std::string& words) { trace += "-- " + words + "\n"; }
 
-  void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill,
+  void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
                Seconds time_out) override {
     node_of[request.value].push_back(node.value);
-    source_of[request.value] = fill.source.value, held_only_of[request.value] = fill.held_only;
+    source_of[request.value] = fill.source.value, cached_only_of[request.value] = fill.cached_only;
     std::string line = request.value + ": attempt to " + node.value;
     line += fill.source == node ? ", no fill" : ", fill from " + fill.source.value;
     line += ", rank " + std::to_string(fill.rank);
-    if (fill.oldest_copy > 0) line += ", at most " + text(fill.oldest_copy) + " s old";
-    if (fill.held_only) line += ", held only";
+    if (fill.max_copy_age > 0) line += ", at most " + text(fill.max_copy_age) + " s old";
+    if (fill.cached_only) line += ", held only";
     if (fill.join) line += ", may join";
-    if (fill.renew) line += ", renew";
+    if (fill.background_refresh) line += ", renew";
     if (time_out > 0) line += ", time-out " + text(time_out) + " s";
     note(line);
   }
@@ -154,7 +154,7 @@
   std::unique_ptr<Director> director;
   std::map<std::string, std::vector<std::string>> node_of;
   std::map<std::string, std::string> source_of;
-  std::map<std::string, bool> held_only_of;
+  std::map<std::string, bool> cached_only_of;
   std::multimap<Seconds, TimerToken> timers;
   std::string trace;
 
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -360,7 +360,7 @@
     for (int i = first; i < first + 40; ++i) {
       const std::string id = named("p", i);
       rig.request(id, static_cast<std::uint64_t>(i));
-      fetches += rig.held_only_of[id] ? 0 : 1;
+      fetches += rig.cached_only_of[id] ? 0 : 1;
       rig.ends(id, 0, result, note, 0.05);
       if (rig.node_of[id].size() > 1) rig.ends(id, 1, Result::kAbsent, AnswerDetail::kNone, 0.0);
     }
@@ -603,7 +603,7 @@
     int fetching = 0;
     for (int i = 100; i < 140; ++i) {
       rig.request(named("p", i), static_cast<std::uint64_t>(i));
-      fetching += rig.held_only_of[named("p", i)] ? 0 : 1;
+      fetching += rig.cached_only_of[named("p", i)] ? 0 : 1;
     }
     return fetching;
   };
@@ -704,7 +704,7 @@
     int fetching = 0;
     for (int i = 100; i < 140; ++i) {
       rig.request(named("p", i), static_cast<std::uint64_t>(i));
-      fetching += !rig.node_of[named("p", i)].empty() && !rig.held_only_of[named("p", i)];
+      fetching += !rig.node_of[named("p", i)].empty() && !rig.cached_only_of[named("p", i)];
       rig.ends(named("p", i), 0, Result::kCompleted, AnswerDetail::kHit, 0);
     }
     return fetching;
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -60,7 +60,7 @@
 class Host : public Actions {
  public:
   Host(Fleet& fleet, int place, int life);
-  void attempt(const RequestId& request, const NodeId& node, const FillTerms& fill, Seconds) override;
+  void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill, Seconds) override;
   void cancel(const RequestId&, AttemptNumber) override {}  // the node answers all the same
   void reject(const RequestId& request, Seconds) override { open.erase(request.value); }
   void fail(const RequestId& request) override { open.erase(request.value); }
@@ -259,7 +259,7 @@
   const auto seed = static_cast<std::uint64_t>(1000 * place + life);
   director = std::make_unique<Director>(fleet.now, settings, seed, *this);
 }
-void Host::attempt(const RequestId& request, const NodeId& node, const FillTerms& fill, Seconds) {
+void Host::attempt(const RequestId& request, const NodeId& node, const FillOptions& fill, Seconds) {
   fleet_.send(place_, request, attempts[request.value]++, node, fill.source);
 }
 void Host::wake(Seconds at, const TimerToken& token) {
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -188,11 +188,15 @@
   const RequestId request{"9b1f03aa5c7e2d41"};
   ForwardedRequest forwarded_request{"segment", "7f3a9c21e0b4d655", "3", "", ""};
   std::string trace = serve_line(request, forwarded_request, 1.4999, {"c1"}, {.source = {"c1"}});
-  trace += serve_line(
-      request, forwarded_request, 1.5, {"c1"},
-      {.source = {"P1"}, .rank = 2, .oldest_copy = 0.0004, .join = true, .held_only = true, .renew = true});
+  trace += serve_line(request, forwarded_request, 1.5, {"c1"},
+                      {.source = {"P1"},
+                       .rank = 2,
+                       .max_copy_age = 0.0004,
+                       .join = true,
+                       .cached_only = true,
+                       .background_refresh = true});
   trace += serve_line(request, forwarded_request, -1, {"c1"},
-                      {.source = {"P1"}, .oldest_copy = 8.0019, .pass_parent = true});
+                      {.source = {"P1"}, .max_copy_age = 8.0019, .bypass_parent_storage = true});
   forwarded_request = {"handover", "1", "", "4be0c1927d55a6f3", "body\r\n"};
   trace += serve_line(request, forwarded_request, 3, {"O"}, {.source = {"O"}}) + cancel_line(request);
   std::erase(trace, '\r');
--- a/tests/routing/ends.hpp
+++ b/tests/routing/ends.hpp
@@ -32,7 +32,7 @@
     results.push_back(result);
     contents += content.bytes;
   }
-  Seconds oldest_copy(const RequestId&) override { return 0; }
+  Seconds max_copy_age(const RequestId&) override { return 0; }
   bool until(const std::function<bool()>& holds) { return runs_until(scheduler, holds); }
 
   transport::Scheduler scheduler;
--- a/tests/routing/upstream_node_test.cpp
+++ b/tests/routing/upstream_node_test.cpp
@@ -25,11 +25,11 @@
   }
   std::shared_ptr<protocol::ForwardedRequest> attempt(const std::string& request, int number = 0,
                                                       Seconds wait = 15, std::size_t body = 0,
-                                                      Seconds oldest_copy = 0) {
+                                                      Seconds max_copy_age = 0) {
     auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
     forwarded_request->lane = "segment", forwarded_request->name = request,
     forwarded_request->body = std::string(body, 'b');
-    peer->attempt({request}, {number}, forwarded_request, {.source = {"P1"}, .oldest_copy = oldest_copy},
+    peer->attempt({request}, {number}, forwarded_request, {.source = {"P1"}, .max_copy_age = max_copy_age},
                   Scheduler::now() + wait);
     return forwarded_request;
   }
@@ -41,7 +41,7 @@
     trace += "\n";
     ++ends;
   }
-  Seconds oldest_copy(const RequestId&) override { return oldest; }
+  Seconds max_copy_age(const RequestId&) override { return oldest; }
   void until(int ended) {
     CHECK(runs_until(scheduler, [&] { return ends >= ended; }));
   }
@@ -65,7 +65,7 @@
 // What a node was told of an attempt: ttl in seconds, agelim in milliseconds as it was worded.
 struct Told {
   Seconds time_left = -1;
-  std::string oldest_copy;
+  std::string max_copy_age;
 };
 Told told(const std::string& heard, const std::string& request) {
   const auto start = heard.find("serve " + request + " ");
@@ -397,9 +397,9 @@
   const std::string& heard = pair.node.ends[0]->heard;
   for (const char* request : {"any", "fresh", "strict"})
     CHECK(told(heard, request).time_left <= give_up_at - reads_at);
-  CHECK(told(heard, "any").oldest_copy == "500");
-  CHECK(told(heard, "fresh").oldest_copy == "500");
-  CHECK(told(heard, "strict").oldest_copy == "250");
+  CHECK(told(heard, "any").max_copy_age == "500");
+  CHECK(told(heard, "fresh").max_copy_age == "500");
+  CHECK(told(heard, "strict").max_copy_age == "250");
   pair.desk.until(1);
   CHECK(pair.desk.trace == "left/0 at c1: not sent\n");
   pair.node.ends[0]->send("strict ACK - 0\r\n\r\n");  // what is behind it has been written by now, if at all
@@ -423,7 +423,7 @@
   pair.until_heard("serve small", 1);
   for (const char* request : {"large", "small"}) {
     CHECK(told(pair.node.ends[1]->heard, request).time_left <= give_up_at - broke_at);
-    CHECK(told(pair.node.ends[1]->heard, request).oldest_copy == "500");
+    CHECK(told(pair.node.ends[1]->heard, request).max_copy_age == "500");
   }
   CHECK(pair.desk.counters.moved_on == 2);
   CHECK(pair.desk.ends == 0);
