--- a/experiments/capacity/cold_quota.cpp
+++ b/experiments/capacity/cold_quota.cpp
@@ -26,9 +26,9 @@
   void cancel(const RequestId&, AttemptNumber) override {}
   void reject(const RequestId&, Seconds) override {}
   void fail(const RequestId&) override {}
-  void wake(Seconds, const TimerToken&) override {}
+  void set_timer(Seconds, const TimerToken&) override {}
   void probe(const NodeId&) override {}
-  void follow_list() override {}
+  void watch_list() override {}
   void log(const std::string&) override {}
 
   struct Sent {
--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -170,11 +170,11 @@
   void fail(const RequestId& request) override {
     reply_ += "abort" + who_ + "\tRequestId=" + request.value + '\n';
   }
-  void wake(Seconds at, const TimerToken& token) override {
+  void set_timer(Seconds at, const TimerToken& token) override {
     reply_ += "notify_me" + who_ + "\tTimeS=" + text_of(at) + "\tToken=" + token.value + '\n';
   }
   void probe(const NodeId& node) override { reply_ += "check" + who_ + "\tNode=" + node.value + '\n'; }
-  void follow_list() override { reply_ += "watch" + who_ + "\tActive=1\n"; }
+  void watch_list() override { reply_ += "watch" + who_ + "\tActive=1\n"; }
   void log(const std::string& words) override { reply_ += "emit" + who_ + "\tWords=" + words + '\n'; }
 
  private:
@@ -286,7 +286,7 @@
     } else if (tag == "dropped") {
       director.request_dropped(now_, {line.text("RequestId")});
     } else if (tag == "wake") {
-      director.woken(now_, {line.text("Token")});
+      director.timer_fired(now_, {line.text("Token")});
     } else if (tag == "health_result") {
       director.probe_ended(now_, {line.text("Node")}, line.word("Status", kResults), line.report("Gauge"));
     } else if (tag == "recalled") {
--- a/src/lab/world/judge.cpp
+++ b/src/lab/world/judge.cpp
@@ -42,7 +42,7 @@
   void group_purged(Seconds now, GroupId group, Seconds age) override {
     director_.group_purged(now, group, age);
   }
-  void woken(Seconds now, const TimerToken& token) override { director_.woken(now, token); }
+  void timer_fired(Seconds now, const TimerToken& token) override { director_.timer_fired(now, token); }
 
  private:
   Director director_;
@@ -101,7 +101,7 @@
   void group_purged(Seconds now, GroupId group, Seconds age) override {
     purged_groups_[group.value] = now - age;
   }
-  void woken(Seconds, const TimerToken&) override {}
+  void timer_fired(Seconds, const TimerToken&) override {}
 
  private:
   struct Node {
--- a/src/lab/world/judge.hpp
+++ b/src/lab/world/judge.hpp
@@ -25,7 +25,7 @@
                              bool request_over) = 0;
   virtual void object_purged(Seconds now, ObjectId object, Seconds age) = 0;
   virtual void group_purged(Seconds now, GroupId group, Seconds age) = 0;
-  virtual void woken(Seconds now, const TimerToken& token) = 0;
+  virtual void timer_fired(Seconds now, const TimerToken& token) = 0;
 };
 
 // kind: design, random, hash, least, two, textbook. Null for another word.
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -197,9 +197,9 @@
   void cancel(const RequestId& request, AttemptNumber number) override;
   void reject(const RequestId& request, Seconds retry_after) override;
   void fail(const RequestId& request) override;
-  void wake(Seconds at, const TimerToken& token) override;
+  void set_timer(Seconds at, const TimerToken& token) override;
   void probe(const NodeId&) override {}
-  void follow_list() override {}
+  void watch_list() override {}
   void log(const std::string&) override {}
 
   World& world_;
@@ -288,7 +288,7 @@
     auditor_.answered(now_, number, Auditor::Answer::kForfeited);
     mix(number * 4 + 2);
   }
-  void wake(Host& host, Seconds when, const TimerToken& token) {
+  void set_timer(Host& host, Seconds when, const TimerToken& token) {
     const std::uint64_t timer = next_timer_++;
     host.timers.emplace(timer, token);
     at(std::max(when, now_), What::kWake, host.number_, timer);
@@ -967,7 +967,7 @@
         if (found == host.timers.end()) return;
         const TimerToken token = found->second;
         host.timers.erase(found);
-        return host.judge->woken(now_, token);
+        return host.judge->timer_fired(now_, token);
       }
       case What::kTimeOut:
         if (Attempt* attempt = held(event.b)) end_later(*attempt, Result::kTimedOut, 0);
@@ -1067,7 +1067,7 @@
 void Host::cancel(const RequestId& request, AttemptNumber number) { world_.cancel(*this, request, number); }
 void Host::reject(const RequestId& request, Seconds retry_after) { world_.reject(request, retry_after); }
 void Host::fail(const RequestId& request) { world_.fail(request); }
-void Host::wake(Seconds at, const TimerToken& token) { world_.wake(*this, at, token); }
+void Host::set_timer(Seconds at, const TimerToken& token) { world_.set_timer(*this, at, token); }
 
 }  // namespace
 
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -230,8 +230,8 @@
     parent_kind = static_cast<int>(number("FamilyInfo.ShieldKind", -1));
     origin_kind = static_cast<int>(number("FamilyInfo.OriginKind", -1));
     flow = number("FamilyInfo.StreamKbPerS", 0);
-    if (text("MembershipMode", "push") == "ask") actions.follow_list();
-    actions.wake(now + kSweepEvery, {"sweep"});
+    if (text("MembershipMode", "push") == "ask") actions.watch_list();
+    actions.set_timer(now + kSweepEvery, {"sweep"});
   }
 
   State& at(Seconds time) { return now = time, *this; }
@@ -863,7 +863,9 @@
     attempt(p, way);
   }
 
-  void wait(Request& p, Seconds pause) { actions.wake(p.resume_at = now + pause, {"resume:" + p.id.value}); }
+  void wait(Request& p, Seconds pause) {
+    actions.set_timer(p.resume_at = now + pause, {"resume:" + p.id.value});
+  }
   bool is_late_alone(const Request& p) { return owed(p) && p.overdue; }
   void wait_on(Request& p) { p.overdue = false; }
 
@@ -1069,7 +1071,7 @@
   }
   void watch(const Request& p, std::size_t place, Seconds time) {
     if (now + time < p.deadline)
-      actions.wake(now + time, {"late:" + std::to_string(place) + ":" + p.id.value});
+      actions.set_timer(now + time, {"late:" + std::to_string(place) + ":" + p.id.value});
   }
 
   void sweep() {
@@ -1083,7 +1085,7 @@
         index.erase(name[n].value), name[n] = NodeId(), zone[n] = kind[n] = -1;
     traffic.look(now, all_sends, connection_idle);
     sort_out_kinds();
-    actions.wake(now + kSweepEvery, {"sweep"});
+    actions.set_timer(now + kSweepEvery, {"sweep"});
   }
 
   std::vector<RequestId> touched;
@@ -1165,7 +1167,7 @@
 void Director::list_starts(Seconds now, ListCompleteness scope) {
   State& m = state_->at(now);
   m.scope = scope;
-  if (scope == ListCompleteness::kFailed) m.actions.wake(now + kListAgain, {"list"});
+  if (scope == ListCompleteness::kFailed) m.actions.set_timer(now + kListAgain, {"list"});
   if (scope == ListCompleteness::kFull || scope == ListCompleteness::kCached)
     std::fill(m.fresh.begin(), m.fresh.end(), false);
 }
@@ -1234,7 +1236,7 @@
   State& m = state_->at(now);
   m.deadlines_end_at = at;
   for (auto& [id, request] : m.requests) m.cut_deadline(request);
-  m.actions.wake(at, {"deadlines-end"});
+  m.actions.set_timer(at, {"deadlines-end"});
 }
 
 void Director::attempt_begun(Seconds now, const RequestId& id, AttemptNumber) {
@@ -1277,11 +1279,11 @@
   state_->at(now).invalidations.group_purged(now, group, age);
 }
 
-void Director::woken(Seconds now, const TimerToken& token) {
+void Director::timer_fired(Seconds now, const TimerToken& token) {
   State& m = state_->at(now);
   const std::string& words = token.value;
   if (words == "sweep") m.sweep();
-  if (words == "list") m.actions.follow_list();
+  if (words == "list") m.actions.watch_list();
   if (words == "deadlines-end") m.end_deadlines();
   if (words.starts_with("resume:")) {
     // Guards against a clock that rounds: a wake may come a hair before the time that was asked for, and no
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -82,9 +82,9 @@
   virtual void cancel(const RequestId& request, AttemptNumber number) = 0;
   virtual void reject(const RequestId& request, Seconds retry_after) = 0;
   virtual void fail(const RequestId& request) = 0;
-  virtual void wake(Seconds at, const TimerToken& token) = 0;
+  virtual void set_timer(Seconds at, const TimerToken& token) = 0;
   virtual void probe(const NodeId& node) = 0;
-  virtual void follow_list() = 0;
+  virtual void watch_list() = 0;
   virtual void log(const std::string& words) = 0;
 };
 
@@ -118,7 +118,7 @@
   void probe_ended(Seconds now, const NodeId& node, Result result, const LoadReport& report);
   void object_purged(Seconds now, ObjectId object, Seconds age);
   void group_purged(Seconds now, GroupId group, Seconds age);
-  void woken(Seconds now, const TimerToken& token);
+  void timer_fired(Seconds now, const TimerToken& token);
 
   // The oldest copy that will do for a request now: it may be less than when the attempt was decided on,
   // where a purge has come since. 0 where any age will do, or the request is not known (any more).
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -381,10 +381,10 @@
   mailbox_.post([this, id] { forget_if_quiet(id); });
 }
 
-void DirectorActor::wake(Seconds at, const TimerToken& token) {
+void DirectorActor::set_timer(Seconds at, const TimerToken& token) {
   scheduler_.at(clock_.to_scheduler(at), [this, token] {
     mailbox_.post([this, token] {
-      director_->woken(clock_.now(), token);
+      director_->timer_fired(clock_.now(), token);
       counters_.nodes = director_->nodes_known();
     });
   });
@@ -396,7 +396,7 @@
 }
 
 // The change log is followed from the start, whatever the module asks.
-void DirectorActor::follow_list() {}
+void DirectorActor::watch_list() {}
 
 void DirectorActor::log(const std::string& words) { log_.info("module", "{}", words); }
 
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -109,9 +109,9 @@
   void cancel(const RequestId& request, AttemptNumber number) override;
   void reject(const RequestId& request, Seconds retry_after) override;
   void fail(const RequestId& request) override;
-  void wake(Seconds at, const TimerToken& token) override;
+  void set_timer(Seconds at, const TimerToken& token) override;
   void probe(const NodeId& node) override;
-  void follow_list() override;
+  void watch_list() override;
   void log(const std::string& words) override;
 
   transport::Scheduler& scheduler_;
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -111,7 +111,7 @@
       const auto [at, token] = *timers.begin();
       timers.erase(timers.begin());
       now = std::max(now, at);
-      director->woken(now, token);
+      director->timer_fired(now, token);
     }
     now = std::max(now, then);
   }
@@ -139,9 +139,9 @@
     note(request.value + ": bounce" + (retry_after > 0 ? ", come back" : ""));
   }
   void fail(const RequestId& request) override { note(request.value + ": forfeit"); }
-  void wake(Seconds at, const TimerToken& token) override { timers.emplace(at, token); }
+  void set_timer(Seconds at, const TimerToken& token) override { timers.emplace(at, token); }
   void probe(const NodeId& node) override { note("probe " + node.value); }
-  void follow_list() override { note("follow the list"); }
+  void watch_list() override { note("follow the list"); }
   void log(const std::string& words) override { note("log: " + words); }
 
   static std::string text(double value) {
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -210,8 +210,8 @@
   rig.request("p3", 3);
   rig.director->request_dropped(rig.now, {"p3"});
   rig.ends("p3", 0, Result::kCancelled, AnswerDetail::kNone, 0.01, true);
-  rig.director->woken(rig.now, {"late:0:p3"});
-  rig.director->woken(rig.now, {"resume:p3"});
+  rig.director->timer_fired(rig.now, {"late:0:p3"});
+  rig.director->timer_fired(rig.now, {"resume:p3"});
   rig.ends("p3", 0, Result::kCompleted);
   rig.say("all turn it away: a pause, and its wake comes a hair too early");
   rig.list(ListCompleteness::kFull, "c1 P1");
@@ -221,7 +221,7 @@
   for (const auto& [at, token] : std::multimap<Seconds, TimerToken>(rig.timers)) {
     if (!token.value.starts_with("resume:p4")) continue;
     rig.now = at - 1e-7;
-    rig.director->woken(rig.now, token);
+    rig.director->timer_fired(rig.now, token);
   }
   check_trace("rule1_one_answer", rig.taken());
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -64,9 +64,9 @@
   void cancel(const RequestId&, AttemptNumber) override {}  // the node answers all the same
   void reject(const RequestId& request, Seconds) override { open.erase(request.value); }
   void fail(const RequestId& request) override { open.erase(request.value); }
-  void wake(Seconds at, const TimerToken& token) override;
+  void set_timer(Seconds at, const TimerToken& token) override;
   void probe(const NodeId&) override {}
-  void follow_list() override {}
+  void watch_list() override {}
   void log(const std::string&) override {}
   void ended(const RequestId& request, int number, const NodeId& node, Result result, AnswerDetail note,
              Seconds sent);
@@ -262,8 +262,8 @@
 void Host::attempt(const RequestId& request, const NodeId& node, const FillOptions& fill, Seconds) {
   fleet_.send(place_, request, attempts[request.value]++, node, fill.source);
 }
-void Host::wake(Seconds at, const TimerToken& token) {
-  fleet_.later(place_, at, [this, token] { director->woken(fleet_.now, token); });
+void Host::set_timer(Seconds at, const TimerToken& token) {
+  fleet_.later(place_, at, [this, token] { director->timer_fired(fleet_.now, token); });
 }
 void Host::ended(const RequestId& request, int number, const NodeId& node, Result result, AnswerDetail note,
                  Seconds sent) {
