--- a/src/benchlink/wire.cpp
+++ b/src/benchlink/wire.cpp
@@ -275,7 +275,7 @@
                                {line.number<std::int64_t>("Group", -1)}, line.number<double>("DeadlineS"),
                                line.number<double>("BytesK", 0), line.flag("Resent"), line.flag("IsWrite"));
     } else if (tag == "begun") {
-      director.attempt_begun(now_, {line.text("RequestId")}, {line.number<int>("Shot")});
+      director.attempt_started(now_, {line.text("RequestId")}, {line.number<int>("Shot")});
     } else if (tag == "resolved") {
       const int note = line.number<int>("Remark", 0);
       director.attempt_ended(now_, {line.text("RequestId")}, {line.number<int>("Shot")}, {line.text("Node")},
@@ -284,7 +284,7 @@
                              line.number<double>("WaitedS", 0), line.number<double>("SpentS", 0),
                              line.report("Gauge"), line.flag("Closed"));
     } else if (tag == "dropped") {
-      director.request_dropped(now_, {line.text("RequestId")});
+      director.client_disconnected(now_, {line.text("RequestId")});
     } else if (tag == "wake") {
       director.timer_fired(now_, {line.text("Token")});
     } else if (tag == "health_result") {
--- a/src/lab/world/judge.cpp
+++ b/src/lab/world/judge.cpp
@@ -28,8 +28,8 @@
     director_.request_arrived(now, request, request_class, {0}, object, part, group, deadline, size_kb,
                               resent, is_write);
   }
-  void request_dropped(Seconds now, const RequestId& request) override {
-    director_.request_dropped(now, request);
+  void client_disconnected(Seconds now, const RequestId& request) override {
+    director_.client_disconnected(now, request);
   }
   void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
                      Result result, AnswerDetail note, Seconds waited, Seconds spent,
@@ -79,7 +79,7 @@
     requests_[id] = request;
     try_once(now, id);
   }
-  void request_dropped(Seconds, const RequestId& id) override { requests_.erase(id); }
+  void client_disconnected(Seconds, const RequestId& id) override { requests_.erase(id); }
   void attempt_ended(Seconds now, const RequestId& id, AttemptNumber, const NodeId& node, Result result,
                      AnswerDetail, Seconds, Seconds, bool request_over) override {
     --out_[node];
--- a/src/lab/world/judge.hpp
+++ b/src/lab/world/judge.hpp
@@ -19,7 +19,7 @@
   virtual void request_arrived(Seconds now, const RequestId& request, RequestClassIndex request_class,
                                ObjectId object, PartNumber part, GroupId group, Seconds deadline,
                                double size_kb, bool resent, bool is_write) = 0;
-  virtual void request_dropped(Seconds now, const RequestId& request) = 0;
+  virtual void client_disconnected(Seconds now, const RequestId& request) = 0;
   virtual void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
                              Result result, AnswerDetail note, Seconds waited, Seconds spent,
                              bool request_over) = 0;
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -768,7 +768,7 @@
     if (!found) return;
     Request& request = *found;
     if (request.owed) {  // the client's time is up: the director has had its last moment
-      hosts_[request.director]->judge->request_dropped(now_, request_id(number));
+      hosts_[request.director]->judge->client_disconnected(now_, request_id(number));
       note_end(request, 0);
       auditor_.answered(now_, number, Auditor::Answer::kForfeited);
     }
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -787,8 +787,8 @@
   }
 
   void cut_deadline(Request& p) {
-    if (p.deadline <= deadlines_end_at) return;
-    p.deadline = deadlines_end_at;
+    if (p.deadline <= deadline_cap) return;
+    p.deadline = deadline_cap;
     p.cut_short = true;
   }
   void end_deadlines() {
@@ -1094,7 +1094,7 @@
   std::knuth_b chance;
   std::uint64_t director_hash;
   Seconds now, began;
-  Seconds deadlines_end_at = kNever;
+  Seconds deadline_cap = kNever;
   std::vector<RequestClass> request_classes;
   int here = 0, parent_kind = -1, origin_kind = -1;
   bool can_join = false, direct = false, may_cancel = false, second_copies = false, may_advise = false;
@@ -1224,7 +1224,7 @@
   m.go_through_rules();
 }
 
-void Director::request_dropped(Seconds now, const RequestId& id) {
+void Director::client_disconnected(Seconds now, const RequestId& id) {
   State& m = state_->at(now);
   if (!m.held(id)) return;
   m.held(id)->over = true;
@@ -1232,14 +1232,14 @@
   m.go_through_rules();
 }
 
-void Director::deadlines_end(Seconds now, Seconds at) {
+void Director::cap_deadlines(Seconds now, Seconds at) {
   State& m = state_->at(now);
-  m.deadlines_end_at = at;
+  m.deadline_cap = at;
   for (auto& [id, request] : m.requests) m.cut_deadline(request);
   m.actions.set_timer(at, {"deadlines-end"});
 }
 
-void Director::attempt_begun(Seconds now, const RequestId& id, AttemptNumber) {
+void Director::attempt_started(Seconds now, const RequestId& id, AttemptNumber) {
   if (Request* p = state_->at(now).held(id)) p->bound = p->may_have_run = true;
 }
 
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -107,11 +107,11 @@
   void request_arrived(Seconds now, const RequestId& request, RequestClassIndex request_class,
                        TenantIndex tenant, ObjectId object, PartNumber part, GroupId group, Seconds deadline,
                        double size_kb, bool resent, bool is_write);
-  void request_dropped(Seconds now, const RequestId& request);
+  void client_disconnected(Seconds now, const RequestId& request);
   // The director is to end: no deadline, of what is open or still comes, lies after that moment. A request
   // that is cut short by it is rejected where that is true of it, and failed else.
-  void deadlines_end(Seconds now, Seconds at);
-  void attempt_begun(Seconds now, const RequestId& request, AttemptNumber number);
+  void cap_deadlines(Seconds now, Seconds at);
+  void attempt_started(Seconds now, const RequestId& request, AttemptNumber number);
   void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
                      Result result, AnswerDetail note, Seconds waited, Seconds spent,
                      const LoadReport& report, bool request_over);
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -150,7 +150,7 @@
   // process may be killed, also where nodes stay silent or clients do not read.
   Task<> leave() {
     const Seconds start = Scheduler::now();
-    module_.deadlines_end(start + config_.limits.answers_by);
+    module_.cap_deadlines(start + config_.limits.answers_by);
     co_await scheduler_.sleep_until(start + config_.limits.serve_on);
     for (front_.close(); front_.clients() > 0 && Scheduler::now() < start + config_.limits.leave;
          front_.close()) {
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -136,10 +136,10 @@
 
 Task<> DirectorActor::live(DirectorActor& self) {
   for (auto call = co_await self.mailbox_.next(); call; call = co_await self.mailbox_.next()) {
-    while (Scheduler::now() < std::min(self.held_until_, self.deadlines_end_))
+    while (Scheduler::now() < std::min(self.held_until_, self.deadline_cap_))
       co_await self.scheduler_.sleep_until(std::min(self.held_until_, Scheduler::now() + kHoldLook));
     while (self.changes_wait_ &&
-           Scheduler::now() < std::min(self.held_until_ + self.limits_.changes_hold, self.deadlines_end_))
+           Scheduler::now() < std::min(self.held_until_ + self.limits_.changes_hold, self.deadline_cap_))
       co_await self.scheduler_.sleep_until(Scheduler::now() + kHoldLook);
     self.scheduler_.run_guarded(call);
   }
@@ -209,7 +209,7 @@
   Request request;
   request.forwarded_request = std::move(forwarded_request);
   request.response_sink = std::move(response_sink);
-  request.deadline = std::min(deadline, deadlines_end_);
+  request.deadline = std::min(deadline, deadline_cap_);
   watch_overdue(id, requests_.insert_or_assign(id, std::move(request)).first->second);
   director_->request_arrived(clock_.now(), id, request_class, {0}, object, part, group,
                              clock_.of_scheduler(deadline), size_kb, resent, is_write);
@@ -222,8 +222,8 @@
 }
 
 // By the mailbox of changes, which is never held.
-void DirectorActor::deadlines_end(Seconds at) {
-  deadlines_end_ = at;
+void DirectorActor::cap_deadlines(Seconds at) {
+  deadline_cap_ = at;
   told_.post([this, at] {
     for (auto& [id, request] : requests_) {
       if (!request.owed || request.deadline <= at) continue;
@@ -231,7 +231,7 @@
       request.deadline = at;
       watch_overdue(id, request);
     }
-    director_->deadlines_end(clock_.now(), clock_.of_scheduler(at));
+    director_->cap_deadlines(clock_.now(), clock_.of_scheduler(at));
   });
 }
 
@@ -259,7 +259,7 @@
     if (!request) return;  // its answer was on the way
     answered(*request);
     ++counters_.left;
-    director_->request_dropped(clock_.now(), id);
+    director_->client_disconnected(clock_.now(), id);
     forget_if_quiet(id);
   });
 }
@@ -270,7 +270,7 @@
     if (!request) return;
     ++counters_.overdue;
     fail(id);
-    director_->request_dropped(clock_.now(), id);
+    director_->client_disconnected(clock_.now(), id);
     forget_if_quiet(id);
   });
 }
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -53,7 +53,7 @@
 
   // The director is to end: whatever is open or still comes gets its final answer by that moment of the
   // scheduler's time, as its class allows (Director::deadlines_end).
-  void deadlines_end(Seconds at);
+  void cap_deadlines(Seconds at);
 
   // From here on each call only posts.
   void known_change_arrived(protocol::Json change) override;
@@ -122,10 +122,10 @@
   flow::Exporter* const flows_;            // null: flows are not exported
   std::string parent_kind_, origin_kind_;  // by index, as the settings name them
   transport::Clock clock_;
-  transport::Mailbox mailbox_, told_;          // told_: changes alone
-  Seconds held_until_ = 0;                     // what is in mailbox_ waits until then
-  Seconds deadlines_end_ = transport::kNever;  // no deadline lies after that, and nothing is held for longer
-  bool changes_wait_ = false;                  // the change stream had more to read than it has brought
+  transport::Mailbox mailbox_, told_;         // told_: changes alone
+  Seconds held_until_ = 0;                    // what is in mailbox_ waits until then
+  Seconds deadline_cap_ = transport::kNever;  // no deadline lies after that, and nothing is held for longer
+  bool changes_wait_ = false;                 // the change stream had more to read than it has brought
   std::size_t links_ = 0, open_ = 0;
   std::map<NodeId, std::shared_ptr<UpstreamNode>> upstream_nodes_;
   std::map<NodeId, transport::Address> addresses_;
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -208,7 +208,7 @@
   rig.ends("p2", 0, Result::kTimedOut, AnswerDetail::kNone, 5);
   rig.say("dropped: only a cancel may follow, and what is heard later changes nothing");
   rig.request("p3", 3);
-  rig.director->request_dropped(rig.now, {"p3"});
+  rig.director->client_disconnected(rig.now, {"p3"});
   rig.ends("p3", 0, Result::kCancelled, AnswerDetail::kNone, 0.01, true);
   rig.director->timer_fired(rig.now, {"late:0:p3"});
   rig.director->timer_fired(rig.now, {"resume:p3"});
--- a/tests/policy/shutdown_test.cpp
+++ b/tests/policy/shutdown_test.cpp
@@ -15,7 +15,7 @@
   rig.list(ListCompleteness::kFull, "c1 c2 P1 O");
   rig.request("read", 1, kRetryable);
   rig.request("write", 2, kWrite);
-  rig.director->deadlines_end(rig.now, kEnd);
+  rig.director->cap_deadlines(rig.now, kEnd);
   CHECK(rig.node_of["write"].size() == 1);
   rig.run_until(kEnd - 0.01);
   const std::string before = rig.taken();
@@ -31,7 +31,7 @@
 TEST_CASE("a request that comes later is held to the same end; a write that never ran is rejected") {
   Rig rig;
   rig.list(ListCompleteness::kFull, "c1 c2 P1 O");
-  rig.director->deadlines_end(rig.now, kEnd);
+  rig.director->cap_deadlines(rig.now, kEnd);
   rig.after(0.5);
   rig.request("late", 1, kRetryable);
   rig.run_until(kEnd);
@@ -44,7 +44,7 @@
   Rig rig;
   rig.list(ListCompleteness::kFull, "c1 c2 P1 O");
   rig.request("read", 1, kRetryable);  // by 105
-  rig.director->deadlines_end(rig.now, 106);
+  rig.director->cap_deadlines(rig.now, 106);
   rig.run_until(104.9);
   CHECK_FALSE(says(rig.taken(), "forfeit"));
   rig.after(0.1);
--- a/tests/routing/shutdown_test.cpp
+++ b/tests/routing/shutdown_test.cpp
@@ -59,7 +59,7 @@
   Site site;
   const auto open = site.put(kId1);
   CHECK(runs_until(site.scheduler, [&] { return site.origin.heard_all("serve " + kId1); }));
-  site.module->deadlines_end(Scheduler::now() + 0.05);
+  site.module->cap_deadlines(Scheduler::now() + 0.05);
   site.hears(*open, "HTTP/1.1 500");
   const auto late = site.put(kId2);
   site.hears(*late, "HTTP/1.1 503");
@@ -76,7 +76,7 @@
     site.module->woke_late(Scheduler::now() + (backlog ? 0 : 60));
     const auto held = site.put(kId1);
     CHECK(runs_until(site.scheduler, [&] { return site.counters.taken == 1; }));
-    site.module->deadlines_end(Scheduler::now() + 0.05);
+    site.module->cap_deadlines(Scheduler::now() + 0.05);
     site.hears(*held, "HTTP/1.1 503");
     CHECK(site.counters.bounced == 1);
   }
