--- a/src/distribution/relay_actor.cpp
+++ b/src/distribution/relay_actor.cpp
@@ -115,7 +115,7 @@
     auto accepted = co_await self.listener_.accept();
     if (accepted.end == transport::Listener::End::kClosed) co_return;
     if (accepted.end != transport::Listener::End::kTaken) {
-      co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_again);
+      co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_retry_delay);
       continue;
     }
     accepted.socket.bound_unsent(kUnsentMost);
@@ -141,8 +141,8 @@
 // One connection: its request, and then only the look for its end; what it is given comes from carry_out.
 // Whoever sends more than one request is no subscriber and is closed.
 Task<> RelayActor::serve(RelayActor& self, SessionPointer session) {
-  const Seconds until = Scheduler::now() + self.limits_.request_whole;
-  protocol::HttpParser parser(protocol::HttpParser::Message::kRequest, {self.limits_.head_bytes, 0});
+  const Seconds until = Scheduler::now() + self.limits_.request_read_timeout;
+  protocol::HttpParser parser(protocol::HttpParser::Message::kRequest, {self.limits_.max_head, 0});
   SubscriptionRequest request;
   transport::Buffer in(kReadRoom);
   auto step = protocol::HttpParser::Step::kMore;
@@ -212,7 +212,8 @@
   if (found == sessions_.end()) return;
   found->second->socket.write_now(plain_answer(words_of(refuse.why)));
   found->second->socket.finish();
-  scheduler_.at(Scheduler::now() + limits_.linger, [session = found->second] { session->socket.close(); });
+  scheduler_.at(Scheduler::now() + limits_.linger_timeout,
+                [session = found->second] { session->socket.close(); });
 }
 
 void RelayActor::carry_out(const Give& give) {
--- a/src/distribution/subscription.cpp
+++ b/src/distribution/subscription.cpp
@@ -30,7 +30,7 @@
                                  private protocol::EventHandler {
  public:
   explicit Connection(Subscription& owner)
-      : owner_(owner), events_(owner.limits_.event_bytes), slice_over_(owner.scheduler_) {}
+      : owner_(owner), events_(owner.limits_.max_event), slice_over_(owner.scheduler_) {}
 
   void start() { owner_.scheduler_.spawn(keep_following(shared_from_this())); }
   // The receiver has taken the last slice in, or could not.
@@ -139,15 +139,16 @@
   const Io sent = co_await socket_.write(asked, until);
   if (!sent.ok()) co_return;
   protocol::HttpParser parser(protocol::HttpParser::Message::kResponse,
-                              {limits.head_bytes, std::numeric_limits<std::size_t>::max()});
-  events_ = protocol::EventParser(limits.event_bytes);
+                              {limits.max_head, std::numeric_limits<std::size_t>::max()});
+  events_ = protocol::EventParser(limits.max_event);
   decoder_.reset();
   slice_.clear();
   usable_ = broken_ = false;
   first_slice_ = true;
-  transport::Buffer in(limits.event_slice);
+  transport::Buffer in(limits.change_stream_read_size);
   for (;;) {
-    const Io io = co_await socket_.read(in, limits.event_slice, Scheduler::now() + owner_.silent_after());
+    const Io io =
+        co_await socket_.read(in, limits.change_stream_read_size, Scheduler::now() + owner_.silent_after());
     if (stopped_) co_return;
     if (io.end == IoEnd::kTimedOut) {
       ++owner_.counters_.log_silent;
@@ -161,7 +162,7 @@
       step = parser.feed(in.view(), used, *this);
       in.consume(used);
     }
-    const bool more_waits = io.bytes >= limits.event_slice;
+    const bool more_waits = io.bytes >= limits.change_stream_read_size;
     if (!slice_.empty()) co_await hand_over(more_waits);
     if (step != protocol::HttpParser::Step::kMore || broken_ || stopped_) co_return;
   }
@@ -213,14 +214,14 @@
 }
 
 Seconds Subscription::silent_after() const {
-  return options_.silent > 0 ? options_.silent : limits_.log_silent;
+  return options_.silent > 0 ? options_.silent : limits_.change_stream_silence_timeout;
 }
 
 // Guards against thousands of subscribers that come back in the same moment: each draws its own, and later
 // ones the longer nobody answers.
 Seconds Subscription::retry_pause(int failures) {
-  if (options_.retry_longest <= 0) return limits_.log_again;
-  const double doubled = limits_.log_again * std::exp2(std::min(failures, kDoublings));
+  if (options_.retry_longest <= 0) return limits_.change_stream_retry_delay;
+  const double doubled = limits_.change_stream_retry_delay * std::exp2(std::min(failures, kDoublings));
   const Seconds longest = std::min(doubled, options_.retry_longest);
   return std::uniform_real_distribution<double>(longest / 2, longest)(chance_);
 }
--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -150,10 +150,11 @@
       settings_(settings),
       seed_(seed),
       started_(clock_.now()),
-      table_({settings.flows_most, limits.flow_connections, settings.active_timeout, settings.idle_timeout},
-             static_cast<std::uint64_t>(started_ * 1000) << 20, *this),
-      names_(limits.flow_name_kept, limits.flow_names),
-      tapped_(limits.flow_connections) {
+      table_(
+          {settings.flows_most, limits.max_flow_connections, settings.active_timeout, settings.idle_timeout},
+          static_cast<std::uint64_t>(started_ * 1000) << 20, *this),
+      names_(limits.flow_name_retention, limits.max_flow_names),
+      tapped_(limits.max_flow_connections) {
   MessageNumber first = 0;
   std::uint32_t first_sequence = 0;
   if (settings.spool.enabled) {
@@ -161,7 +162,7 @@
     spool_ = storage::Spool::open(settings.spool.directory, settings.spool.bytes, error, damaged);
     if (!spool_) throw std::runtime_error("flow_export: can't open the spool: " + error);
     if (!damaged.empty()) log_.event(LogLevel::kError, "spool_damaged", "flow export: " + damaged);
-    worker_ = std::make_unique<storage::Worker>(scheduler, limits.spool_jobs);
+    worker_ = std::make_unique<storage::Worker>(scheduler, limits.max_spool_jobs);
     if (const auto last = spool_->last(error)) first = last->number + 1, first_sequence = last->next_sequence;
     stored_cursors_ = spool_->cursors(error);
     for (const auto& [reader, next] : stored_cursors_) first = std::max(first, next);
@@ -194,9 +195,9 @@
 
 DeliveryTimes Exporter::times() const {
   DeliveryTimes times;
-  times.first_pause = limits_.flow_pause;
-  times.longest_pause = limits_.flow_pause_longest;
-  times.come_home = limits_.flow_come_home;
+  times.first_pause = limits_.flow_retry_delay;
+  times.longest_pause = limits_.flow_max_retry_delay;
+  times.come_home = limits_.flow_primary_check_interval;
   times.template_again = settings_.template_resend;
   times.template_after = settings_.template_resend_messages;
   times.replay_per_s = settings_.spool.replay_per_s > 0 ? settings_.spool.replay_per_s : 2000;
@@ -411,7 +412,7 @@
   while (!self.finished_) {
     const Seconds at = self.now();
     const std::uint64_t evicted = self.table_.evicted();
-    if (self.table_.expire(at, self.limits_.flows_a_turn)) {
+    if (self.table_.expire(at, self.limits_.max_flows_per_turn)) {
       co_await self.scheduler_.sleep_until(Scheduler::now());  // the others' turn
       continue;
     }
@@ -430,12 +431,12 @@
       self.keep_bound(*stream);
       for (const auto& receiver : stream->receivers) receiver->awake.notify();
     }
-    co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.flow_tick);
+    co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.flow_tick_interval);
   }
 }
 
 Task<> Exporter::finish(Seconds until) {
-  while (table_.end_some(now(), EndReason::kForced, limits_.flows_a_turn))
+  while (table_.end_some(now(), EndReason::kForced, limits_.max_flows_per_turn))
     co_await scheduler_.sleep_until(Scheduler::now());
   finished_ = true;
   disk_again_at_ = 0;
@@ -578,7 +579,7 @@
 
 // Cursors go to the disk, and what nobody needs any more, or is too old, goes from it.
 void Exporter::look_after_spool() {
-  if (!spool_ || now() < spool_at_ + limits_.flow_trim || now() < disk_again_at_) return;
+  if (!spool_ || now() < spool_at_ + limits_.flow_trim_interval || now() < disk_again_at_) return;
   spool_at_ = now();
   Stream& stream = *streams_[0];
   MessageNumber needed = stream.sendable();
@@ -637,7 +638,7 @@
     };
     const auto work = std::make_shared<Work>();
     const MessageNumber all_before = std::min(stream.backlog.first(), stream.sendable());  // of what is read
-    const auto job = [spool = spool_.get(), work, from = receiver.cursor, bytes = limits_.spool_read] {
+    const auto job = [spool = spool_.get(), work, from = receiver.cursor, bytes = limits_.spool_read_size] {
       work->entries = spool->read(from, bytes, work->error);
     };
     // Taken over at once: a job behind this one may drop some of them.
@@ -710,8 +711,8 @@
       co_return false;
     }
   } else {
-    auto connected =
-        co_await transport::connect(scheduler_, collector.address, Scheduler::now() + limits_.flow_connect);
+    auto connected = co_await transport::connect(scheduler_, collector.address,
+                                                 Scheduler::now() + limits_.flow_connect_timeout);
     if (connected.end != transport::ConnectEnd::kUp) co_return false;
     session->stream = std::move(connected.socket);
     session->stream.bound_unsent(settings_.queue_bytes);  // else the kernel would hold megabytes more
@@ -792,7 +793,8 @@
   } else {
     receiver.sending = true;
     const std::string bytes = templates + message->bytes;
-    const transport::Io io = co_await session.stream.write(bytes, Scheduler::now() + limits_.flow_stall);
+    const transport::Io io =
+        co_await session.stream.write(bytes, Scheduler::now() + limits_.flow_stall_timeout);
     receiver.sending = false;
     session.written += io.bytes;
     if (!io.ok()) {
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -75,7 +75,8 @@
   list("zones", config.names.zones);
   list("kinds", config.names.kinds);
   fmt::print(out, "limits: {} clients, {} connections to nodes, {} MB of answers not yet taken\n",
-             config.limits.clients, config.limits.links, config.limits.waiting_answers >> 20);
+             config.limits.max_clients, config.limits.max_node_connections,
+             config.limits.max_pending_answers >> 20);
   if (!paths.operator_file.empty() || std::getenv("HARERAMP_OPERATOR")) print_operator(operator_file, out);
   return 0;
 }
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -90,8 +90,8 @@
     front_.start();
     scheduler_.spawn(heed_signals());
     log_.event(LogLevel::kInfo, "serving",
-               fmt::format("{}: serving, with {} clients at most", config_.name, config_.limits.clients),
-               {{"name", config_.name}, {"clients_most", std::uint64_t{config_.limits.clients}}});
+               fmt::format("{}: serving, with {} clients at most", config_.name, config_.limits.max_clients),
+               {{"name", config_.name}, {"clients_most", std::uint64_t{config_.limits.max_clients}}});
     scheduler_.run();
     log_counters();
   }
@@ -150,15 +150,16 @@
   // process may be killed, also where nodes stay silent or clients do not read.
   Task<> leave() {
     const Seconds start = Scheduler::now();
-    module_.cap_deadlines(start + config_.limits.answers_by);
-    co_await scheduler_.sleep_until(start + config_.limits.serve_on);
-    for (front_.close(); front_.clients() > 0 && Scheduler::now() < start + config_.limits.leave;
+    module_.cap_deadlines(start + config_.limits.shutdown_answer_deadline);
+    co_await scheduler_.sleep_until(start + config_.limits.drain_accept_window);
+    for (front_.close();
+         front_.clients() > 0 && Scheduler::now() < start + config_.limits.shutdown_close_deadline;
          front_.close()) {
       co_await scheduler_.sleep_until(Scheduler::now() + 0.01);
     }
     if (flows_)
-      co_await flows_->finish(
-          std::min(Scheduler::now() + config_.limits.flow_leave, start + config_.limits.exit_by));
+      co_await flows_->finish(std::min(Scheduler::now() + config_.limits.flow_shutdown_timeout,
+                                       start + config_.limits.shutdown_exit_deadline));
     scheduler_.stop();
   }
 
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -67,7 +67,7 @@
   if (busy_) return Standing::kStays;
   if (closing_) return Standing::kLingering;
   // The first request of a client that means well is on its way when it connects, as the next may be now.
-  if (now - moved_at_ < listener_.limits_.first_request) return Standing::kStays;
+  if (now - moved_at_ < listener_.limits_.first_request_grace) return Standing::kStays;
   if (!shown_) return parser_.begun() ? Standing::kShownPart : Standing::kShownNothing;
   return parser_.begun() || in_.size() > 0 ? Standing::kStays : Standing::kIdle;
 }
@@ -83,8 +83,8 @@
 ClientConnection::ClientConnection(ClientListener& listener, transport::Socket socket)
     : listener_(listener),
       socket_(std::move(socket)),
-      in_(listener.limits_.buffer_kept),
-      parser_(HttpParser::Message::kRequest, {listener.limits_.head_bytes, listener.limits_.request_body}),
+      in_(listener.limits_.retained_buffer),
+      parser_(HttpParser::Message::kRequest, {listener.limits_.max_head, listener.limits_.max_request_body}),
       mailbox_(listener.scheduler_),
       resumed_(listener.scheduler_),
       moved_at_(Scheduler::now()) {
@@ -143,14 +143,15 @@
 Task<> ClientConnection::read_on() {
   const Limits& limits = listener_.limits_;
   while (!ended_) {
-    if (in_.size() >= limits.read_ahead && busy_) {  // reading pauses until the answer is out
+    if (in_.size() >= limits.max_read_ahead && busy_) {  // reading pauses until the answer is out
       co_await resumed_.wait();
       continue;
     }
     const bool lingers = closing_ && !busy_;
-    const Seconds patience = parser_.begun() || !shown_ ? limits.request_whole : limits.client_idle;
+    const Seconds patience =
+        parser_.begun() || !shown_ ? limits.request_read_timeout : limits.client_idle_timeout;
     const Io io =
-        co_await socket_.read(in_, limits.read_room, lingers ? linger_until_ : moved_at_ + patience);
+        co_await socket_.read(in_, limits.read_size, lingers ? linger_until_ : moved_at_ + patience);
     if (ended_) break;
     if (io.end == IoEnd::kTimedOut) {
       if (busy_) {
@@ -323,7 +324,7 @@
   keep_ = false;
   closing_ = true;
   moved_at_ = Scheduler::now();
-  linger_until_ = moved_at_ + listener_.limits_.linger_most;
+  linger_until_ = moved_at_ + listener_.limits_.max_linger;
   socket_.finish();
   try {
     watch_linger();
@@ -335,7 +336,7 @@
 
 void ClientConnection::watch_linger() {
   const Seconds due =
-      std::min(linger_until_, std::max(moved_at_, Scheduler::now()) + listener_.limits_.linger);
+      std::min(linger_until_, std::max(moved_at_, Scheduler::now()) + listener_.limits_.linger_timeout);
   listener_.scheduler_.at(due, [weak = weak_from_this()] {
     if (const auto client = weak.lock()) client->end_linger();
   });
@@ -344,13 +345,13 @@
 void ClientConnection::end_linger() {
   if (ended_) return;
   const Seconds now = Scheduler::now();
-  const bool silent = now >= moved_at_ + listener_.limits_.linger;
+  const bool silent = now >= moved_at_ + listener_.limits_.linger_timeout;
   if (now >= linger_until_ || (silent && socket_.unacknowledged() == 0)) return leave();
   watch_linger();
 }
 
 Task<> ClientConnection::write(std::shared_ptr<ClientConnection> self, std::string head, std::string bytes) {
-  const Seconds until = Scheduler::now() + self->listener_.limits_.answer_taken;
+  const Seconds until = Scheduler::now() + self->listener_.limits_.answer_write_timeout;
   const std::size_t size = bytes.size();
   try {
     head += bytes;  // one write: a client that reads the head finds the body with it
--- a/src/routing/client_listener.cpp
+++ b/src/routing/client_listener.cpp
@@ -28,7 +28,7 @@
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
-      listener_(scheduler, at, limits.backlog),
+      listener_(scheduler, at, limits.listen_backlog),
       names_(names),
       module_(module),
       flows_(flows) {}
@@ -55,13 +55,13 @@
       continue;
     }
     self.accept_failures_ = 0;
-    if (self.clients_.size() >= self.limits_.clients) {
+    if (self.clients_.size() >= self.limits_.max_clients) {
       // Whoever has closed already, or has just asked for something, is heard of first.
       co_await self.scheduler_.sleep_until(Scheduler::now());
     }
-    while (self.clients_.size() >= self.limits_.clients && !self.make_room()) {
+    while (self.clients_.size() >= self.limits_.max_clients && !self.make_room()) {
       ++self.counters_.accept_paused;
-      co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_again);
+      co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_retry_delay);
     }
     self.admit(std::move(accepted.socket));
   }
--- a/src/routing/client_request.cpp
+++ b/src/routing/client_request.cpp
@@ -80,13 +80,13 @@
     r.id = value;
   } else if (same_name(name, "x-deadline-ms")) {
     r.bad = r.bad || r.has_stop;
-    r.has_stop = read_figure(value, limits.longest_wait * 1000, r.wait);
+    r.has_stop = read_figure(value, limits.max_deadline * 1000, r.wait);
   } else if (same_name(name, "x-resent")) {
     r.resent = value == "1";
   } else if (same_name(name, "x-family")) {
-    r.bad = r.bad || !read_number(value, r.family) || r.family < 0 || r.family >= limits.groups;
+    r.bad = r.bad || !read_number(value, r.family) || r.family < 0 || r.family >= limits.group_count;
   } else if (same_name(name, "x-need-kb")) {
-    r.bad = r.bad || !read_figure(value, limits.largest_kb, r.size_kb);
+    r.bad = r.bad || !read_figure(value, limits.max_request_kb, r.size_kb);
   } else if (same_name(name, "if-none-match")) {
     if (value.starts_with("W/")) value.remove_prefix(2);
     if (value.size() >= 2 && value.front() == '"' && value.back() == '"')
@@ -135,7 +135,7 @@
   shown_ = true;
 
   // Guards against clients that ask and do not read: their answers must not fill the memory. Nothing has run.
-  if (listener_.waiting_answers_ > listener_.limits_.waiting_answers) {
+  if (listener_.waiting_answers_ > listener_.limits_.max_pending_answers) {
     listener_.module_.turned_back();
     answer(503, "", "", ipfix::Outcome::kBounced);
     return true;
@@ -158,8 +158,9 @@
   }
   const Limits& limits = listener_.limits_;
   // A request read after a pause may have waited for all of it, and its client's time began with the sending.
-  const Seconds deadline = Scheduler::now() + std::max(0.0, http_request_.wait / 1000 - limits.stop_margin -
-                                                                listener_.scheduler_.late());
+  const Seconds deadline =
+      Scheduler::now() +
+      std::max(0.0, http_request_.wait / 1000 - limits.deadline_margin - listener_.scheduler_.late());
   request_ = {std::move(http_request_.id)};
   forwarded_request_ = forwarded_request;
   listener_.module_.request_arrived(request_, {static_cast<int>(place)}, object, target->part,
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -139,7 +139,8 @@
     while (Scheduler::now() < std::min(self.held_until_, self.deadline_cap_))
       co_await self.scheduler_.sleep_until(std::min(self.held_until_, Scheduler::now() + kHoldLook));
     while (self.changes_wait_ &&
-           Scheduler::now() < std::min(self.held_until_ + self.limits_.changes_hold, self.deadline_cap_))
+           Scheduler::now() <
+               std::min(self.held_until_ + self.limits_.max_change_backlog_hold, self.deadline_cap_))
       co_await self.scheduler_.sleep_until(Scheduler::now() + kHoldLook);
     self.scheduler_.run_guarded(call);
   }
@@ -218,7 +219,7 @@
 // Guards against a request that nothing would ever end; the module's own time-outs come first.
 void DirectorActor::watch_overdue(const RequestId& id, Request& request) {
   request.last_resort =
-      scheduler_.at(request.deadline + limits_.overdue, [this, id] { end_by_last_resort(id); });
+      scheduler_.at(request.deadline + limits_.deadline_guard_delay, [this, id] { end_by_last_resort(id); });
 }
 
 // By the mailbox of changes, which is never held.
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -21,7 +21,7 @@
   enum class State { kConnecting, kUp, kClosed };
 
   UpstreamConnection(UpstreamNode& owner, const Limits& limits)
-      : peer(owner), in(limits.buffer_kept), parser(limits.answer_line, limits.answer_body) {}
+      : peer(owner), in(limits.retained_buffer), parser(limits.max_answer_line, limits.max_answer_body) {}
 
   void answer(std::string_view id, Result result, AnswerDetail note, Seconds waited, bool same_copy,
               std::string_view tag, const LoadReport& report, std::string_view body) override {
@@ -137,7 +137,8 @@
 UpstreamNode::ConnectionPointer UpstreamNode::choose_link(const RequestId& request) {
   ConnectionPointer least = least_used_link(request, false);
   if (least && least->open.empty()) return least;
-  if (links_.size() >= limits_.links_per_node || links_held_ >= limits_.links) return least;
+  if (links_.size() >= limits_.max_connections_per_node || links_held_ >= limits_.max_node_connections)
+    return least;
   auto link = std::make_shared<UpstreamConnection>(*this, limits_);
   link->self = link;
   links_.push_back(link);
@@ -147,11 +148,11 @@
 }
 
 UpstreamNode::ConnectionPointer UpstreamNode::least_used_link(const RequestId& request, bool must_be_up) {
-  const Seconds old = Scheduler::now() - limits_.link_idle;
+  const Seconds old = Scheduler::now() - limits_.node_idle_timeout;
   ConnectionPointer least;
   for (const ConnectionPointer& link : links_) {
     if (must_be_up && link->state != UpstreamConnection::State::kUp) continue;
-    if (link->retiring || link->suspect || link->open.size() >= limits_.streams_per_link) continue;
+    if (link->retiring || link->suspect || link->open.size() >= limits_.max_attempts_per_connection) continue;
     link->forget_until(old);
     if (link->open.contains(request) || link->heard_of.contains(request)) continue;
     if (link->open.empty() && link->state == UpstreamConnection::State::kUp && link->socket.ended()) continue;
@@ -170,7 +171,7 @@
   open.number = number;
   open.request_class = {message.forwarded_request->request_class_number};
   open.location = {message.forwarded_request->location_number};
-  open.timer = watch(request, number, std::min(give_up_at, now + limits_.begin_within), give_up_at);
+  open.timer = watch(request, number, std::min(give_up_at, now + limits_.send_start_timeout), give_up_at);
   link->open.emplace(request, open);
   link->out.push_back(std::move(message));
   pump(link);
@@ -214,7 +215,7 @@
     link->out.push_back(UpstreamMessage::cancel(request));
     // Guards against a node that vanished without a word: its connections look open for ever. Also meets a
     // path that went dead. Costs a connection set up anew where a node was only slow.
-    if (link->heard_at < open.written_at && now - open.written_at > limits_.link_doubt) {
+    if (link->heard_at < open.written_at && now - open.written_at > limits_.suspect_timeout) {
       link->suspect = true;
       ++counters_.links_doubted;
     }
@@ -246,7 +247,8 @@
     return;
   }
   link->idle_since = Scheduler::now();
-  if (!std::exchange(link->idle_watched, true)) watch_idle(link, link->idle_since + limits_.link_idle);
+  if (!std::exchange(link->idle_watched, true))
+    watch_idle(link, link->idle_since + limits_.node_idle_timeout);
 }
 
 void UpstreamNode::watch_idle(const ConnectionPointer& link, Seconds until) {
@@ -254,7 +256,7 @@
     const auto peer = weak.lock();
     link->idle_watched = false;
     if (!peer || link->state != UpstreamConnection::State::kUp || !link->open.empty()) return;
-    const Seconds due = link->idle_since + peer->limits_.link_idle;
+    const Seconds due = link->idle_since + peer->limits_.node_idle_timeout;
     if (Scheduler::now() < due) {
       link->idle_watched = true;
       return peer->watch_idle(link, due);
@@ -367,7 +369,7 @@
   const Seconds now = Scheduler::now();
   if (message.may_begin(now)) {
     if (message.forwarded_request)
-      message.encode(now, node_, told_.max_copy_age(message.request), limits_.hold_back > 0);
+      message.encode(now, node_, told_.max_copy_age(message.request), limits_.final_write_delay > 0);
     return true;
   }
   const RequestId request = message.request;
@@ -389,7 +391,7 @@
     if (whole && piece.held > 0) {
       const Seconds now = Scheduler::now();
       if (piece.whole_at == 0) {
-        piece.whole_at = now + limits_.hold_back;
+        piece.whole_at = now + limits_.final_write_delay;
         scheduler_.at(piece.whole_at, [self = shared_from_this(), link] { self->pump(link); });
       }
       if (now < piece.whole_at) return true;
@@ -448,7 +450,7 @@
 }
 
 Task<> UpstreamNode::follow(ConnectionPointer link) {
-  const Seconds until = Scheduler::now() + limits_.connect;
+  const Seconds until = Scheduler::now() + limits_.connect_timeout;
   transport::Connected connected = co_await transport::connect(scheduler_, address_, until);
   if (connected.end != transport::ConnectEnd::kUp) {
     ++counters_.links_failed;
@@ -472,11 +474,11 @@
   pump(link);
   settle(link);
   while (link->state == UpstreamConnection::State::kUp) {
-    const std::size_t room = std::max(limits_.read_room, link->parser.wanted());
+    const std::size_t room = std::max(limits_.read_size, link->parser.wanted());
     // Guards against an answer that stops short: nothing behind it on this connection can be read any more.
     const bool amid = link->in.size() > 0;
-    const Io io =
-        co_await link->socket.read(link->in, room, amid ? link->heard_at + limits_.link_stall : kNever);
+    const Io io = co_await link->socket.read(link->in, room,
+                                             amid ? link->heard_at + limits_.answer_stall_timeout : kNever);
     if (io.end == IoEnd::kTimedOut) ++counters_.links_stalled;
     if (!io.ok()) break;
     link->heard_at = Scheduler::now();
--- a/tests/distribution/relay_actor_test.cpp
+++ b/tests/distribution/relay_actor_test.cpp
@@ -26,7 +26,7 @@
   Site() {
     const protocol::Json nothing;
     limits = program::fill_limits(nothing, nothing);
-    limits.log_again = 0.01;
+    limits.change_stream_retry_delay = 0.01;
     settings.listen = *transport::Address::parse("127.0.0.1:0");
     settings.sources = {{source.address, "source"}};
     settings.tick = 0.005;
--- a/tests/distribution/subscription_test.cpp
+++ b/tests/distribution/subscription_test.cpp
@@ -33,7 +33,8 @@
   explicit Slices(double silent = 15, SubscriptionOptions options = {}) {
     const auto nothing = *protocol::Json::parse("{}");
     limits = program::fill_limits(nothing, nothing);
-    limits.event_slice = 256, limits.log_silent = silent, limits.log_again = 0.001;
+    limits.change_stream_read_size = 256, limits.change_stream_silence_timeout = silent,
+    limits.change_stream_retry_delay = 0.001;
     list.emplace(scheduler, limits, counters, log, std::vector<Endpoint>{{changes.address, "log"}}, 0,
                  receiver, options);
     list->start({});
--- a/tests/flow/exporter_disk_test.cpp
+++ b/tests/flow/exporter_disk_test.cpp
@@ -31,19 +31,19 @@
 
 Limits limits() {
   Limits made;
-  made.flow_connections = 64;
-  made.flow_names = 1 << 16;
-  made.flows_a_turn = 64;
-  made.spool_jobs = 64;
-  made.spool_read = 256 << 10;
-  made.flow_tick = 0.005;
-  made.flow_name_kept = 3600;
-  made.flow_connect = 2;
-  made.flow_stall = 10;
-  made.flow_pause = 0.01;
-  made.flow_pause_longest = 0.05;
-  made.flow_come_home = 10;
-  made.flow_trim = 0.01;
+  made.max_flow_connections = 64;
+  made.max_flow_names = 1 << 16;
+  made.max_flows_per_turn = 64;
+  made.max_spool_jobs = 64;
+  made.spool_read_size = 256 << 10;
+  made.flow_tick_interval = 0.005;
+  made.flow_name_retention = 3600;
+  made.flow_connect_timeout = 2;
+  made.flow_stall_timeout = 10;
+  made.flow_retry_delay = 0.01;
+  made.flow_max_retry_delay = 0.05;
+  made.flow_primary_check_interval = 10;
+  made.flow_trim_interval = 0.01;
   return made;
 }
 
@@ -103,7 +103,7 @@
   }
   // Records become messages at a tick: one whose timer was set before ours has run before it.
   bool until_all_on_disk() {
-    const Seconds ticked = Scheduler::now() + 2 * bounds.flow_tick;
+    const Seconds ticked = Scheduler::now() + 2 * bounds.flow_tick_interval;
     return until([&] { return Scheduler::now() > ticked && all_on_disk(); });
   }
 
--- a/tests/program/program_test.cpp
+++ b/tests/program/program_test.cpp
@@ -199,10 +199,10 @@
       program::fill_limits(*protocol::Json::parse(R"({"memory_mb":96,"sockets":300})"),
                            *protocol::Json::parse(R"({"Permissions":{"ConnectTimeoutS":0.25,"ConnIdleS":15.0,
                                                "StreamsPerConn":7}})"));
-  CHECK(limits.clients == 100);
-  CHECK(limits.clients + limits.links <= 300 - 32);
-  CHECK(limits.waiting_answers == 24u << 20);
-  CHECK(limits.connect == 0.25);
-  CHECK(limits.link_idle < 15);
-  CHECK(limits.streams_per_link == 7);
+  CHECK(limits.max_clients == 100);
+  CHECK(limits.max_clients + limits.max_node_connections <= 300 - 32);
+  CHECK(limits.max_pending_answers == 24u << 20);
+  CHECK(limits.connect_timeout == 0.25);
+  CHECK(limits.node_idle_timeout < 15);
+  CHECK(limits.max_attempts_per_connection == 7);
 }
--- a/tests/program/shutdown_test.cpp
+++ b/tests/program/shutdown_test.cpp
@@ -121,18 +121,18 @@
                                 *protocol::Json::parse("{\"RequestClasses\":[" + deadlines + "]}"));
   };
   const Limits longest = limits_of(R"({"DeadlineS":0.4},{"DeadlineS":6})");
-  CHECK(longest.answers_by == doctest::Approx(3.4));
-  CHECK(longest.exit_by < 3.7);
-  CHECK(limits_of("").answers_by == doctest::Approx(3.4));
-  CHECK(limits_of(R"({"DeadlineS":1.5})").answers_by == doctest::Approx(1.9));
+  CHECK(longest.shutdown_answer_deadline == doctest::Approx(3.4));
+  CHECK(longest.shutdown_exit_deadline < 3.7);
+  CHECK(limits_of("").shutdown_answer_deadline == doctest::Approx(3.4));
+  CHECK(limits_of(R"({"DeadlineS":1.5})").shutdown_answer_deadline == doctest::Approx(1.9));
   const Limits shortest = limits_of(R"({"DeadlineS":0.4})");
-  CHECK(shortest.answers_by == doctest::Approx(1.0));  // 0.6 s and the whole deadline
-  CHECK(shortest.exit_by < 1.1);
+  CHECK(shortest.shutdown_answer_deadline == doctest::Approx(1.0));  // 0.6 s and the whole deadline
+  CHECK(shortest.shutdown_exit_deadline < 1.1);
   for (const Limits& limits : {longest, shortest}) {
-    CHECK(limits.serve_on == 0.75);
-    CHECK(limits.serve_on < limits.answers_by);
-    CHECK(limits.answers_by < limits.leave);
-    CHECK(limits.leave < limits.exit_by);
+    CHECK(limits.drain_accept_window == 0.75);
+    CHECK(limits.drain_accept_window < limits.shutdown_answer_deadline);
+    CHECK(limits.shutdown_answer_deadline < limits.shutdown_close_deadline);
+    CHECK(limits.shutdown_close_deadline < limits.shutdown_exit_deadline);
   }
 }
 
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -171,11 +171,11 @@
   explicit TestDirector(const std::function<void(Limits&)>& change = {}) {
     const auto nothing = *protocol::Json::parse("{}");
     limits = program::fill_limits(nothing, nothing);
-    limits.client_idle = 15;
-    limits.request_whole = 15;
-    limits.link_doubt = 15;
-    limits.link_stall = 15;
-    limits.hold_back = 0;
+    limits.client_idle_timeout = 15;
+    limits.request_read_timeout = 15;
+    limits.suspect_timeout = 15;
+    limits.answer_stall_timeout = 15;
+    limits.final_write_delay = 0;
     if (change) change(limits);
     Settings settings = Rig::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
@@ -357,7 +357,7 @@
 TEST_CASE("a request read after its client has closed is not started") {
   for (const ClientEnd how : kClientEnds) {
     CAPTURE(static_cast<int>(how));
-    TestDirector director([](Limits& limits) { limits.clients = 1; });
+    TestDirector director([](Limits& limits) { limits.max_clients = 1; });
     PlainClient first(director.front->address()), second(director.front->address());
     first.send(get(kId1));
     director.until_attempts(kId1, 1);
@@ -421,11 +421,11 @@
   };
   std::optional<PlainClient> other;
   const Path kPaths[] = {
-      {"time-out", "408", [](Limits& limits) { limits.request_whole = 0.05; }, [](TestDirector&) {}},
+      {"time-out", "408", [](Limits& limits) { limits.request_read_timeout = 0.05; }, [](TestDirector&) {}},
       {"room for another client", "503",
        [](Limits& limits) {
-         limits.clients = 1;
-         limits.first_request = 0;
+         limits.max_clients = 1;
+         limits.first_request_grace = 0;
        },
        [&](TestDirector& director) { other.emplace(director.front->address()); }},
       {"the end of a drain", "503", [](Limits&) {}, [](TestDirector& director) { director.front->close(); }},
@@ -473,7 +473,7 @@
 TEST_CASE("a request that crosses the idle time-out, unread, is served") {
   bool crossed = false;
   for (int tries = 0; tries < 20 && !crossed; ++tries) {
-    TestDirector director([](Limits& limits) { limits.client_idle = 0.2; });
+    TestDirector director([](Limits& limits) { limits.client_idle_timeout = 0.2; });
     PlainClient client(director.front->address());
     client.send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
     director.until([&] { return client.heard().ends_with("ok\n"); });
@@ -560,10 +560,10 @@
     CAPTURE(error);
     // A pause by these limits would outlast the test.
     TestDirector director([](Limits& limits) {
-      limits.first_request = 0;
-      limits.linger = 100;
-      limits.linger_most = 100;
-      limits.accept_again = 100;
+      limits.first_request_grace = 0;
+      limits.linger_timeout = 100;
+      limits.max_linger = 100;
+      limits.accept_retry_delay = 100;
     });
     PlainClient idle(director.front->address());
     director.until([&] { return director.front->clients() == 1; });
@@ -586,7 +586,7 @@
   constexpr int kMany = 1000000;
   for (const int error : {EMFILE, ENOBUFS}) {
     CAPTURE(error);
-    TestDirector director([](Limits& limits) { limits.first_request = 0; });
+    TestDirector director([](Limits& limits) { limits.first_request_grace = 0; });
     std::list<PlainClient> idle;
     while (idle.size() < kIdle) idle.emplace_back(director.front->address());
     director.until([&] { return director.front->clients() == kIdle; });
@@ -604,7 +604,7 @@
 }
 
 TEST_CASE("out of descriptors for longer: an idle client makes room, one amid an open request does not") {
-  TestDirector director([](Limits& limits) { limits.first_request = 0; });
+  TestDirector director([](Limits& limits) { limits.first_request_grace = 0; });
   PlainClient busy(director.front->address()), idle(director.front->address());
   busy.send(get(kId1));
   director.until_attempts(kId1, 1);
@@ -621,7 +621,7 @@
 TEST_CASE("a request that crosses the search for room, unread, is served") {
   bool crossed = false;
   for (int tries = 0; tries < 20 && !crossed; ++tries) {
-    TestDirector director([](Limits& limits) { limits.first_request = 0; });
+    TestDirector director([](Limits& limits) { limits.first_request_grace = 0; });
     std::list<PlainClient> clients;
     for (int i = 0; i < 3; ++i) {
       clients.emplace_back(director.front->address());
--- a/tests/routing/ends.hpp
+++ b/tests/routing/ends.hpp
@@ -14,10 +14,12 @@
 class Ends : public Attempts {
  public:
   Ends() {
-    limits.buffer_kept = limits.read_room = 1 << 14;
-    limits.answer_line = 200, limits.answer_body = 1 << 20;
-    limits.links = 10, limits.links_per_node = 2, limits.streams_per_link = 5;
-    limits.connect = limits.begin_within = limits.link_idle = limits.link_doubt = limits.link_stall = 15;
+    limits.retained_buffer = limits.read_size = 1 << 14;
+    limits.max_answer_line = 200, limits.max_answer_body = 1 << 20;
+    limits.max_node_connections = 10, limits.max_connections_per_node = 2,
+    limits.max_attempts_per_connection = 5;
+    limits.connect_timeout = limits.send_start_timeout = limits.node_idle_timeout = limits.suspect_timeout =
+        limits.answer_stall_timeout = 15;
     peer =
         std::make_shared<UpstreamNode>(scheduler, limits, counters, links, NodeId{"c1"}, node.address, *this);
     peer->start();
--- a/tests/routing/io_failures_test.cpp
+++ b/tests/routing/io_failures_test.cpp
@@ -125,8 +125,8 @@
   for (const std::size_t at_once : {1, 2, 7}) {
     CAPTURE(at_once);
     Ends desk;
-    desk.limits.links_per_node = 1;
-    desk.limits.hold_back = 0.001;
+    desk.limits.max_connections_per_node = 1;
+    desk.limits.final_write_delay = 0.001;
     injected = {
         .port = desk.node.address.port(), .writes = kAnyNumber, .at_once = at_once, .interrupts = true};
     desk.attempt("p1", "body");
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -126,7 +126,8 @@
   StandIn cache(scheduler), parent(scheduler), origin(scheduler);
   const auto nothing = *protocol::Json::parse("{}");
   Limits limits = program::fill_limits(nothing, nothing);
-  limits.link_doubt = limits.link_stall = limits.connect = limits.begin_within = 15;
+  limits.suspect_timeout = limits.answer_stall_timeout = limits.connect_timeout = limits.send_start_timeout =
+      15;
   Counters counters;
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -18,8 +18,9 @@
   explicit Site(const std::function<void(Limits&)>& change = {}) {
     const auto nothing = *protocol::Json::parse("{}");
     limits = program::fill_limits(nothing, nothing);
-    limits.client_idle = 15, limits.link_doubt = 15, limits.link_stall = 15, limits.links_per_node = 1;
-    limits.hold_back = 0;
+    limits.client_idle_timeout = 15, limits.suspect_timeout = 15, limits.answer_stall_timeout = 15,
+    limits.max_connections_per_node = 1;
+    limits.final_write_delay = 0;
     if (change) change(limits);
     Settings settings = Rig::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
@@ -179,7 +180,7 @@
 }
 
 TEST_CASE("requests that are no requests get a plain answer, and the module never hears of them") {
-  Site site([](Limits& limits) { limits.linger = 0.01; });
+  Site site([](Limits& limits) { limits.linger_timeout = 0.01; });
   std::string trace;
   const std::string headers =
       " HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 0000000000000001\r\nX-Deadline-Ms: 900\r\n";
@@ -235,9 +236,9 @@
 
 TEST_CASE("a client that does not read is cut off; while much waits, further requests are bounced") {
   Site site([](Limits& limits) {
-    limits.answer_taken = 0.2;
-    limits.answer_body = 64 << 20;
-    limits.waiting_answers = 1 << 20;
+    limits.answer_write_timeout = 0.2;
+    limits.max_answer_body = 64 << 20;
+    limits.max_pending_answers = 1 << 20;
   });
   const auto deaf = site.client(false);
   deaf->send(Site::get(kId1));
@@ -261,7 +262,7 @@
 }
 
 TEST_CASE("at the limit of clients an idle one makes room, else accepting pauses") {
-  Site site([](Limits& limits) { limits.clients = 2; });
+  Site site([](Limits& limits) { limits.max_clients = 2; });
   const auto two = site.client(), one = site.client();
   one->send(Site::get(kId1));
   site.hears(site.cache, "serve " + kId1);
@@ -279,7 +280,7 @@
 }
 
 TEST_CASE("at the limit those that have shown nothing go before one that is idle after a good request") {
-  Site site([](Limits& limits) { limits.clients = 3, limits.first_request = 0; });
+  Site site([](Limits& limits) { limits.max_clients = 3, limits.first_request_grace = 0; });
   const auto good = site.client();
   good->send(Site::get(kId1));
   site.hears(site.cache, "serve " + kId1);
@@ -295,7 +296,7 @@
 }
 
 TEST_CASE("half a request, or none, is ended in time; one that is idle after a good request may stay") {
-  Site site([](Limits& limits) { limits.request_whole = 0.02; });
+  Site site([](Limits& limits) { limits.request_read_timeout = 0.02; });
   const auto good = site.client();
   good->send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
   site.hears(*good, "200 OK");
@@ -308,7 +309,7 @@
 }
 
 TEST_CASE("what is too large is refused, and the rest of it taken so that the refusal can be read") {
-  Site site([](Limits& limits) { limits.linger = 10, limits.linger_most = 15; });
+  Site site([](Limits& limits) { limits.linger_timeout = 10, limits.max_linger = 15; });
   const auto client = site.client();
   client->send(Site::put(kId1, "Content-Length: 60000000\r\n\r\n"));
   const std::string piece(1 << 20, 'x');
@@ -365,7 +366,7 @@
 
 TEST_CASE("after a late turn requests wait while the change stream has more, a bounded time at most") {
   for (const bool backlog_ends : {true, false}) {
-    Site site([&](Limits& limits) { limits.changes_hold = backlog_ends ? 15 : 0.05; });
+    Site site([&](Limits& limits) { limits.max_change_backlog_hold = backlog_ends ? 15 : 0.05; });
     const auto slice_with_more = [&](bool more_waits) {
       bool taken = false;
       site.module->changes_arrived({}, more_waits, [&](bool) { taken = true; });
@@ -425,7 +426,9 @@
 }
 
 TEST_CASE("the change log: silent, refusing or senseless, it is asked again") {
-  Followed site([](Limits& limits) { limits.log_silent = 0.03, limits.log_again = 0.001; });
+  Followed site([](Limits& limits) {
+    limits.change_stream_silence_timeout = 0.03, limits.change_stream_retry_delay = 0.001;
+  });
   site.asked(0, 4);
   site.asked(1, 4);  // never answered
   CHECK(site.counters.log_silent >= 1);
@@ -450,7 +453,7 @@
   site.hears(site.cache, "serve " + kId1);
   CHECK(site.counters.events < kBacklog);
   CHECK(site.counters.events - site.counters.purges <=
-        site.limits.event_slice / 50);  // bytes of the shortest
+        site.limits.change_stream_read_size / 50);  // bytes of the shortest
   site.until([&] { return site.counters.purges == kBacklog; });
   CHECK(site.list->last() == 4 + kBacklog);
 }
@@ -480,7 +483,7 @@
 }
 
 TEST_CASE("the change log: an address taken over by another node") {
-  Followed site([](Limits& limits) { limits.links_per_node = 2; });
+  Followed site([](Limits& limits) { limits.max_connections_per_node = 2; });
   site.asked(0, 4);
   const auto client = site.client();
   client->send(Site::get(kId1));
--- a/tests/routing/shutdown_test.cpp
+++ b/tests/routing/shutdown_test.cpp
@@ -16,8 +16,8 @@
   Site() {
     const auto nothing = *protocol::Json::parse("{}");
     limits = program::fill_limits(nothing, nothing);
-    limits.overdue = 60;  // only the module's own end counts here
-    limits.changes_hold = 60;
+    limits.deadline_guard_delay = 60;  // only the module's own end counts here
+    limits.max_change_backlog_hold = 60;
     Settings settings = Rig::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
     const Names names{
--- a/tests/routing/upstream_node_test.cpp
+++ b/tests/routing/upstream_node_test.cpp
@@ -15,11 +15,12 @@
 class Desk : public Attempts {
  public:
   explicit Desk(transport::Address address) {
-    limits.buffer_kept = limits.read_room = 1 << 14;
-    limits.answer_line = 200, limits.answer_body = 1 << 20;
-    limits.links = 10, limits.links_per_node = 1, limits.streams_per_link = 5;
-    limits.connect = 5, limits.begin_within = 5, limits.link_idle = 30, limits.link_doubt = 0.001,
-    limits.link_stall = 15;
+    limits.retained_buffer = limits.read_size = 1 << 14;
+    limits.max_answer_line = 200, limits.max_answer_body = 1 << 20;
+    limits.max_node_connections = 10, limits.max_connections_per_node = 1,
+    limits.max_attempts_per_connection = 5;
+    limits.connect_timeout = 5, limits.send_start_timeout = 5, limits.node_idle_timeout = 30,
+    limits.suspect_timeout = 0.001, limits.answer_stall_timeout = 15;
     peer = std::make_shared<UpstreamNode>(scheduler, limits, counters, links, NodeId{"c1"}, address, *this);
     peer->start();
   }
@@ -120,7 +121,7 @@
   // The only place in the queue is taken, so that the next connection is not answered at all.
   transport::Listener full(refused.scheduler, *transport::Address::parse("127.0.0.1:0"), 0);
   const auto first = dial(refused.scheduler, full.address());
-  refused.limits.connect = 0.05;
+  refused.limits.connect_timeout = 0.05;
   refused.peer->moved(full.address());
   refused.attempt("p3");
   refused.until(3);
@@ -158,7 +159,7 @@
 
 TEST_CASE("a connection each while they go round: what one answer spoils, it spoils alone") {
   Pair pair;
-  pair.desk.limits.links_per_node = 3;
+  pair.desk.limits.max_connections_per_node = 3;
   for (const char* id : {"p1", "p2", "p3"}) pair.desk.attempt(id);
   for (std::size_t place = 0; place < 3; ++place) pair.until_heard("serve p", place);
   const auto at = [&](const std::string& id) {
@@ -189,7 +190,7 @@
 TEST_CASE(
     "an answer that stops short ends its connection, while others wait for theirs as long as it takes") {
   Pair pair;
-  pair.desk.limits.link_stall = 0.02, pair.desk.limits.links_per_node = 2;
+  pair.desk.limits.answer_stall_timeout = 0.02, pair.desk.limits.max_connections_per_node = 2;
   pair.desk.attempt("p1");
   pair.until_heard("serve p1");
   pair.desk.attempt("p2");
@@ -217,14 +218,14 @@
 
 TEST_CASE("a write that a reset cuts off before its held-back end goes on elsewhere, and whole") {
   Pair pair;
-  pair.desk.limits.links_per_node = 3, pair.desk.limits.hold_back = 15;
+  pair.desk.limits.max_connections_per_node = 3, pair.desk.limits.final_write_delay = 15;
   pair.desk.attempt("p1", 0, 15, 4);
   pair.until_heard(" 4\r\nbbbb");
   pair.node.ends[0]->reset();
   pair.until_heard(" 4\r\nbbbb", 1);
   CHECK_FALSE(pair.node.heard_all("bbbb\r\n", 0));
   CHECK(pair.desk.ends == 0);
-  pair.desk.limits.hold_back = 0.001;
+  pair.desk.limits.final_write_delay = 0.001;
   pair.desk.attempt("p2", 0, 15, 3);
   pair.until_heard("bbb\r\n", 2);
   pair.node.ends[2]->send("p2 ACK - 0\r\n\r\n");
@@ -234,7 +235,7 @@
 
 TEST_CASE("half written: it never ran, and never will; what waited behind goes on elsewhere") {
   Pair pair(false);  // the node never reads
-  pair.desk.limits.link_doubt = 100;
+  pair.desk.limits.suspect_timeout = 100;
   pair.desk.attempt("small");
   pair.desk.attempt("large", 0, 15, 64 << 20);
   pair.desk.attempt("behind");
@@ -247,7 +248,7 @@
   pair.desk.until(3);
   pair.desk.say("stuck for a while: what waited behind for too long is not sent any more");
   pair.desk.attempt("large", 1, 15, 64 << 20);
-  pair.desk.limits.begin_within = -1;
+  pair.desk.limits.send_start_timeout = -1;
   pair.desk.attempt("late");
   pair.desk.until(4);
   pair.node.ends[1]->listen();
@@ -260,7 +261,7 @@
 
 TEST_CASE("silence: timed out, and the next goes on a new connection") {
   Pair pair;
-  pair.desk.limits.links_per_node = 2;
+  pair.desk.limits.max_connections_per_node = 2;
   pair.desk.attempt("p1", 0, 0.05);
   pair.desk.until(1);
   pair.desk.attempt("p2");
@@ -276,7 +277,7 @@
 
 TEST_CASE("a late answer to what was called off does no harm") {
   Pair pair;
-  pair.desk.limits.link_doubt = 100, pair.desk.limits.links_per_node = 2;
+  pair.desk.limits.suspect_timeout = 100, pair.desk.limits.max_connections_per_node = 2;
   pair.desk.attempt("p1");
   pair.until_heard("serve p1");
   pair.desk.peer->cancel({"p1"}, {0});
@@ -299,7 +300,7 @@
   Pair pair;
   pair.desk.attempt("p1");
   pair.until_heard("serve p1");
-  pair.desk.limits.links_per_node = 2;
+  pair.desk.limits.max_connections_per_node = 2;
   StandIn other(pair.desk.scheduler);
   pair.desk.peer->moved(other.address);
   pair.desk.attempt("p2");
@@ -316,13 +317,13 @@
 
 TEST_CASE("idle connections close before the node does; limits hold") {
   Pair pair;
-  pair.desk.limits.link_idle = 0.02;
+  pair.desk.limits.node_idle_timeout = 0.02;
   pair.desk.attempt("p1");
   pair.until_heard("serve p1");
   pair.node.ends[0]->send("p1 ACK - 0\r\n\r\n");
   REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.ends[0]->ended; }));
   CHECK(pair.desk.counters.links_idle == 1);
-  pair.desk.limits.links_per_node = 3;
+  pair.desk.limits.max_connections_per_node = 3;
   pair.desk.say("fifteen fit on three connections of five each, no more");
   for (int i = 0; i < 17; ++i) pair.desk.attempt("q" + std::to_string(i));
   pair.desk.until(3);
@@ -358,7 +359,7 @@
   Desk desk(*transport::Address::parse("127.0.0.1:1"));
   transport::Listener full(desk.scheduler, *transport::Address::parse("127.0.0.1:0"), 0);
   const auto first = dial(desk.scheduler, full.address());  // takes the only place in the queue
-  desk.limits.connect = desk.limits.begin_within = 15;
+  desk.limits.connect_timeout = desk.limits.send_start_timeout = 15;
   desk.peer->moved(full.address());
   desk.attempt("p1");
   const Seconds give_up_at = Scheduler::now() + 15;
@@ -380,7 +381,7 @@
 TEST_CASE(
     "an earlier write goes first: what waits behind it tells the time left, and the age, of its start") {
   Pair pair(false);  // the node does not read yet
-  pair.desk.limits.begin_within = 15;
+  pair.desk.limits.send_start_timeout = 15;
   pair.desk.attempt("large", 0, 15, 64 << 20);
   REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(1); }));
   pair.desk.attempt("any", 0, 15);
@@ -409,7 +410,7 @@
 
 TEST_CASE("moved on from a connection that broke: the other is told the time that is left then") {
   Pair pair(false);  // the node does not read yet
-  pair.desk.limits.begin_within = 15;
+  pair.desk.limits.send_start_timeout = 15;
   pair.desk.attempt("large", 0, 15, 64 << 20);
   pair.desk.attempt("small");
   const Seconds give_up_at = Scheduler::now() + 15;
@@ -433,8 +434,8 @@
   bool crossed = false;  // false where the machine stood still so long that the held-back end went out before
   for (int tries = 0; tries < 20 && !crossed; ++tries) {
     Pair pair;
-    pair.desk.limits.hold_back = 0.2;
-    const Seconds held_until = Scheduler::now() + pair.desk.limits.hold_back;  // or later
+    pair.desk.limits.final_write_delay = 0.2;
+    const Seconds held_until = Scheduler::now() + pair.desk.limits.final_write_delay;  // or later
     pair.desk.attempt("write", 0, 15, 4);
     pair.until_heard(" 4\r\nbbbb");
     pair.desk.attempt("late", 0, 0.3);
