--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -46,9 +46,9 @@
 class Client : public ResponseSink {
  public:
   void completed(const RequestId&, Content) override { ++served; }
-  void rejected(const RequestId&, Seconds) override { ++rejected; }
-  void failed(const RequestId&) override { ++failed; }
-  int served = 0, rejected = 0, failed = 0;
+  void rejected(const RequestId&, Seconds) override { ++rejections; }
+  void failed(const RequestId&) override { ++failures; }
+  int served = 0, rejections = 0, failures = 0;
 };
 
 }  // namespace
@@ -163,7 +163,7 @@
         end->send(request + " ACK why=mem 2\r\nok\r\n");
       }
     }
-    return client->served + client->rejected + client->failed == 2;
+    return client->served + client->rejections + client->failures == 2;
   };
   CHECK(runs_until(scheduler, answer_all));
   CHECK(client->served == 2);
