--- a/src/base/schema.cpp
+++ b/src/base/schema.cpp
@@ -81,11 +81,11 @@
   return text;
 }
 
-std::string SchemaSlip::line(const std::string& file) const {
+std::string SchemaViolation::line(const std::string& file) const {
   return fmt::format("{}: at {}: found {}; wanted {}", file, pointer.empty() ? "/" : pointer, found, wanted);
 }
 
-std::optional<SchemaSlip> first_slip(const json& schema_json, const json& document) {
+std::optional<SchemaViolation> first_violation(const json& schema_json, const json& document) {
   valijson::Schema schema;
   valijson::SchemaParser parser;
   const valijson::adapters::NlohmannJsonAdapter schema_adapter(schema_json), document_adapter(document);
@@ -106,15 +106,16 @@
       std::string known;
       for (const auto& [name, ignored] : part["properties"].items())
         known += (known.empty() ? "" : ", ") + name;
-      return SchemaSlip{std::string(pointer).append("/").append(key), "an unknown key", "one of " + known};
+      return SchemaViolation{std::string(pointer).append("/").append(key), "an unknown key",
+                             "one of " + known};
     }
     if (part.contains("required"))
       for (const json& name : part["required"])
         if (!value.contains(name.get<std::string>()))
-          return SchemaSlip{pointer + "/" + name.get<std::string>(), "nothing",
-                            wanted_by(part["properties"][name.get<std::string>()])};
+          return SchemaViolation{pointer + "/" + name.get<std::string>(), "nothing",
+                                 wanted_by(part["properties"][name.get<std::string>()])};
   }
-  return SchemaSlip{pointer, shown(value), wanted_by(part)};
+  return SchemaViolation{pointer, shown(value), wanted_by(part)};
 }
 
 }  // namespace hareramp
--- a/src/base/schema.hpp
+++ b/src/base/schema.hpp
@@ -8,14 +8,14 @@
 
 namespace hareramp {
 
-struct SchemaSlip {
+struct SchemaViolation {
   std::string pointer;  // RFC 6901; empty: the document itself
   std::string found, wanted;
   // FILE: at /a/0: found X; wanted Y
   std::string line(const std::string& file) const;
 };
 
-std::optional<SchemaSlip> first_slip(const nlohmann::json& schema, const nlohmann::json& document);
+std::optional<SchemaViolation> first_violation(const nlohmann::json& schema, const nlohmann::json& document);
 
 // A value in a few words, for such a line.
 std::string shown(const nlohmann::json& value);
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -86,7 +86,7 @@
   } catch (const json::parse_error& error) {
     throw BadExperiment(fmt::format("{}: not JSON: {}", file, error.what()));
   }
-  if (const auto slip = first_slip(json::parse(kExperimentSchema), document))
+  if (const auto slip = first_violation(json::parse(kExperimentSchema), document))
     throw BadExperiment(slip->line(file));
   if (quick && document.contains("quick")) document.merge_patch(document["quick"]);
   Experiment experiment;
--- a/src/program/operator.cpp
+++ b/src/program/operator.cpp
@@ -21,7 +21,7 @@
 
 [[noreturn]] void refuse(const std::string& file, const std::string& pointer, const std::string& there,
                          const std::string& asked) {
-  throw BadConfig(SchemaSlip{pointer, there, asked}.line(file));
+  throw BadConfig(SchemaViolation{pointer, there, asked}.line(file));
 }
 
 template <class Value>
@@ -140,7 +140,8 @@
   } catch (const json::parse_error& error) {
     throw BadConfig(fmt::format("{}: not JSON: {}", file, error.what()));
   }
-  if (const auto slip = first_slip(json::parse(kOperatorSchema), document)) throw BadConfig(slip->line(file));
+  if (const auto slip = first_violation(json::parse(kOperatorSchema), document))
+    throw BadConfig(slip->line(file));
   OperatorFile out;
   const json empty = json::object();
   const json& log = document.contains("log") ? document["log"] : empty;
