--- a/src/base/schema.cpp
+++ b/src/base/schema.cpp
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-std::string shown(const json& value) {
+std::string describe_value(const json& value) {
   std::string text = value.is_object() ? "an object" : value.is_array() ? "a list" : value.dump();
   if (text.size() > 80) text = text.substr(0, 77) + "...";
   return text;
@@ -115,7 +115,7 @@
           return SchemaViolation{pointer + "/" + name.get<std::string>(), "nothing",
                                  wanted_by(part["properties"][name.get<std::string>()])};
   }
-  return SchemaViolation{pointer, shown(value), wanted_by(part)};
+  return SchemaViolation{pointer, describe_value(value), wanted_by(part)};
 }
 
 }  // namespace hareramp
--- a/src/base/schema.hpp
+++ b/src/base/schema.hpp
@@ -18,6 +18,6 @@
 std::optional<SchemaViolation> first_violation(const nlohmann::json& schema, const nlohmann::json& document);
 
 // A value in a few words, for such a line.
-std::string shown(const nlohmann::json& value);
+std::string describe_value(const nlohmann::json& value);
 
 }  // namespace hareramp
--- a/src/program/operator.cpp
+++ b/src/program/operator.cpp
@@ -32,7 +32,7 @@
 flow::CollectorSettings read_collector(const json& one, const std::string& file, const std::string& pointer) {
   flow::CollectorSettings collector;
   const auto address = transport::Address::parse(one["address"].get<std::string>());
-  if (!address) refuse(file, pointer + "/address", shown(one["address"]), "an address with a port");
+  if (!address) refuse(file, pointer + "/address", describe_value(one["address"]), "an address with a port");
   collector.address = *address;
   if (or_else<std::string>(one, "transport", "udp") == "tcp") collector.transport = flow::Transport::kTcp;
   if (or_else<std::string>(one, "protocol", "ipfix") == "netflow9")
@@ -64,7 +64,7 @@
     const auto collector = read_collector(collectors[i], file, pointer);
     for (const auto& other : out.collectors)
       if (other.address == collector.address && other.transport == collector.transport)
-        refuse(file, pointer, shown(collectors[i]["address"]) + " for the second time",
+        refuse(file, pointer, describe_value(collectors[i]["address"]) + " for the second time",
                "each collector once");
     out.collectors.push_back(collector);
   }
@@ -93,10 +93,10 @@
     const auto text = listed[i].get<std::string>();
     const auto address = transport::Address::parse(text);
     const std::string place = fmt::format("{}/{}", pointer, i);
-    if (!address) refuse(file, place, shown(listed[i]), "an address with a port");
+    if (!address) refuse(file, place, describe_value(listed[i]), "an address with a port");
     const distribution::Endpoint endpoint{*address, text};
     if (std::find(endpoints.begin(), endpoints.end(), endpoint) != endpoints.end())
-      refuse(file, place, shown(listed[i]) + " for the second time", "each address once");
+      refuse(file, place, describe_value(listed[i]) + " for the second time", "each address once");
     endpoints.push_back(endpoint);
   }
   return endpoints;
@@ -122,7 +122,7 @@
   if (object.contains("sources")) out.sources = read_endpoints(object["sources"], file, "/relay/sources");
   if (object.contains("listen")) {
     const auto listen = transport::Address::parse(object["listen"].get<std::string>());
-    if (!listen) refuse(file, "/relay/listen", shown(object["listen"]), "an address with a port");
+    if (!listen) refuse(file, "/relay/listen", describe_value(object["listen"]), "an address with a port");
     out.listen = *listen;
   }
   if (!out.enabled) return;
