--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -25,11 +25,11 @@
 
 // A director in a small world: caches c1 to c4 in zone 2 (c4's cell differs), r1 in zone 3, parents P1 to P3
 // in zones 0 and 1, one origin O. A transfer runs at 1000 KB/s.
-class Rig : public Actions {
+class DirectorFixture : public Actions {
  public:
-  Rig(const Rig&) = delete;
-  Rig() : Rig(Settings()) {}
-  explicit Rig(const Settings& changes) {
+  DirectorFixture(const DirectorFixture&) = delete;
+  DirectorFixture() : DirectorFixture(Settings()) {}
+  explicit DirectorFixture(const Settings& changes) {
     Settings settings = usual_settings();
     for (const auto& [name, value] : changes) settings[name] = value;
     director = std::make_unique<Director>(now, settings, 7, *this);
--- a/tests/policy/cache_group_test.cpp
+++ b/tests/policy/cache_group_test.cpp
@@ -34,15 +34,15 @@
 
 // A director before so many caches of its own zone, and whom it asks for 2,000 objects.
 Asked asked_of(int caches) {
-  Rig rig;
-  rig.list(ListCompleteness::kFull, cache_names(caches) + "P1 P2 P3 O");
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kFull, cache_names(caches) + "P1 P2 P3 O");
   Asked asked;
   for (int object = 0; object < 2000; ++object) {
     const std::string id = "r" + std::to_string(object);
-    rig.request(id, static_cast<std::uint64_t>(object), 0, 1);
-    asked.caches.insert(rig.node_of[id][0]);
-    asked.parents.push_back(rig.source_of[id]);
-    rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.001);
+    fixture.request(id, static_cast<std::uint64_t>(object), 0, 1);
+    asked.caches.insert(fixture.node_of[id][0]);
+    asked.parents.push_back(fixture.source_of[id]);
+    fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.001);
   }
   return asked;
 }
--- a/tests/policy/policy_test.cpp
+++ b/tests/policy/policy_test.cpp
@@ -10,70 +10,70 @@
 const char* const kAll = "c1 c2 c3 P1 P2 P3 O";
 
 // Fills from each source as told: its rate in KB/s, and whether it held the object.
-void feed(Rig& rig, const std::map<std::string, std::pair<double, AnswerDetail>>& sources, int requests,
-          int first) {
+void feed(DirectorFixture& fixture, const std::map<std::string, std::pair<double, AnswerDetail>>& sources,
+          int requests, int first) {
   for (int i = 0; i < requests; ++i) {
     const std::string id = named("feed", first + i);
-    rig.request(id, static_cast<std::uint64_t>(first + i));
-    const auto found = sources.find(rig.source_of[id]);
+    fixture.request(id, static_cast<std::uint64_t>(first + i));
+    const auto found = sources.find(fixture.source_of[id]);
     if (found == sources.end()) {
-      rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.4);
+      fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.4);
     } else {
-      rig.ends(id, 0, Result::kCompleted, found->second.second, 400 / found->second.first);
+      fixture.ends(id, 0, Result::kCompleted, found->second.second, 400 / found->second.first);
     }
   }
-  rig.taken();
+  fixture.taken();
 }
 
 // Which sources the next requests name, in one line.
-std::string sources_of_next(Rig& rig, int first, int requests = 12) {
+std::string sources_of_next(DirectorFixture& fixture, int first, int requests = 12) {
   std::string line;
   for (int i = 0; i < requests; ++i) {
     const std::string id = named("see", first + i);
-    rig.request(id, static_cast<std::uint64_t>(first + i));
-    line += " " + rig.source_of[id];
-    rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.01);
+    fixture.request(id, static_cast<std::uint64_t>(first + i));
+    line += " " + fixture.source_of[id];
+    fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.01);
   }
-  rig.taken();
+  fixture.taken();
   return line + "\n";
 }
 }  // namespace
 
 TEST_CASE("home and parent") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, kAll);
-  for (int object = 1; object <= 3; ++object) rig.request(named("p", object), object);
-  rig.say(
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, kAll);
+  for (int object = 1; object <= 3; ++object) fixture.request(named("p", object), object);
+  fixture.say(
       "the same object again has the same home and parent; a second part has its own home, not its own "
       "parent");
-  rig.after(9);
-  rig.request("p1-again", 1);
-  rig.request("p1-part1", 1, 0, 400, 1);
-  rig.say("a grade with a fresh time: bounded, and renewed behind");
-  rig.request("p4", 4, 1);
-  check_trace("home_and_parent", rig.taken());
+  fixture.after(9);
+  fixture.request("p1-again", 1);
+  fixture.request("p1-part1", 1, 0, 400, 1);
+  fixture.say("a grade with a fresh time: bounded, and renewed behind");
+  fixture.request("p4", 4, 1);
+  check_trace("home_and_parent", fixture.taken());
 }
 
 TEST_CASE("three bands for a parent") {
   std::string trace;
   const auto see = [&](const std::string& what, double p1, AnswerDetail note) {
-    Rig rig;
-    rig.list(ListCompleteness::kCached, kAll);
+    DirectorFixture fixture;
+    fixture.list(ListCompleteness::kCached, kAll);
     // P2 and P3 set the origin's rate of 1000 by what they fetch, and hold a part of what they are asked for.
     for (int round = 0; round < 4; ++round) {
-      feed(rig,
+      feed(fixture,
            {{"P1", {p1, note}},
             {"P2", {1000, AnswerDetail::kFilledByOrigin}},
             {"P3", {1000, AnswerDetail::kFilled}}},
            12, 1000 + 50 * round);
     }
-    trace += what + ":" + sources_of_next(rig, 1);
+    trace += what + ":" + sources_of_next(fixture, 1);
   };
   see("P1 under the low threshold, all held", 60, AnswerDetail::kFilled);
   see("P1 just over the low threshold, all held", 140, AnswerDetail::kFilled);
   see("P1 between the thresholds, nothing held", 500, AnswerDetail::kFilledByOrigin);
   see("P1 over the high threshold, all held", 1500, AnswerDetail::kFilled);
-  Rig unheard;
+  DirectorFixture unheard;
   unheard.list(ListCompleteness::kCached, kAll);
   feed(unheard, {{"P2", {1000, AnswerDetail::kFilledByOrigin}}, {"P3", {1000, AnswerDetail::kFilled}}}, 24,
        1000);
@@ -82,55 +82,55 @@
 }
 
 TEST_CASE("a share that falls for all drops nobody") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, kAll);
-  feed(rig,
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, kAll);
+  feed(fixture,
        {{"P1", {900, AnswerDetail::kFilledByOrigin}},
         {"P2", {1000, AnswerDetail::kFilledByOrigin}},
         {"P3", {1000, AnswerDetail::kFilledByOrigin}}},
        40, 1000);
-  check_trace("shares_fall_together", "nothing held anywhere, P1 slowest:" + sources_of_next(rig, 1));
+  check_trace("shares_fall_together", "nothing held anywhere, P1 slowest:" + sources_of_next(fixture, 1));
 }
 
 TEST_CASE("spread, sibling fill, and the parent after a sibling miss") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, kAll);
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, kAll);
   for (int i = 0; i < 4; ++i) {
     const std::string id = named("hot", i);
-    rig.request(id, 5);
-    if (i < 3) rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.1);
+    fixture.request(id, 5);
+    if (i < 3) fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.1);
   }
-  rig.say("the sibling lacks it: the object's parent");
-  rig.ends("hot3", 0, Result::kAbsent, AnswerDetail::kSourceMissed);
-  rig.ends("hot3", 1, Result::kCompleted, AnswerDetail::kFilled, 0.4);
-  check_trace("spread", rig.taken());
+  fixture.say("the sibling lacks it: the object's parent");
+  fixture.ends("hot3", 0, Result::kAbsent, AnswerDetail::kSourceMissed);
+  fixture.ends("hot3", 1, Result::kCompleted, AnswerDetail::kFilled, 0.4);
+  check_trace("spread", fixture.taken());
 }
 
 TEST_CASE("three bands for a sibling") {
   std::string trace;
   const auto see = [&](const std::string& what, double rate, int held_in_ten) {
-    Rig rig;
-    rig.list(ListCompleteness::kCached, "c1 c2 P1 O");
-    feed(rig, {{"P1", {1000, AnswerDetail::kFilled}}}, 10, 1000);
+    DirectorFixture fixture;
+    fixture.list(ListCompleteness::kCached, "c1 c2 P1 O");
+    feed(fixture, {{"P1", {1000, AnswerDetail::kFilled}}}, 10, 1000);
     for (int i = 0; i < 30; ++i) {
       const std::string id = named("hot", i);
-      rig.request(id, 5);
-      if (rig.source_of[id][0] == 'P') {
-        rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.05);
+      fixture.request(id, 5);
+      if (fixture.source_of[id][0] == 'P') {
+        fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.05);
       } else if (i % 10 < held_in_ten) {
-        rig.ends(id, 0, Result::kCompleted, AnswerDetail::kFilled, 400 / rate);
+        fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kFilled, 400 / rate);
       } else {
-        rig.ends(id, 0, Result::kAbsent, AnswerDetail::kSourceMissed);
-        rig.ends(id, 1, Result::kCompleted, AnswerDetail::kHit, 0.05);
+        fixture.ends(id, 0, Result::kAbsent, AnswerDetail::kSourceMissed);
+        fixture.ends(id, 1, Result::kCompleted, AnswerDetail::kHit, 0.05);
       }
     }
-    rig.taken();
+    fixture.taken();
     int asked = 0;
     for (int i = 0; i < 6; ++i) {
       const std::string id = named("see", i);
-      rig.request(id, 5);
-      asked += rig.source_of[id][0] == 'c';
-      rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.05);
+      fixture.request(id, 5);
+      asked += fixture.source_of[id][0] == 'c';
+      fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.05);
     }
     trace += what + ": named as source in " + std::to_string(asked) + " of 6\n";
   };
@@ -141,54 +141,54 @@
 }
 
 TEST_CASE("a lost parent is left out, and comes back by a trial") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 c2 c3 P1 P2 O");
-  feed(rig, {{"P1", {1000, AnswerDetail::kFilled}}, {"P2", {1000, AnswerDetail::kFilled}}}, 10, 1000);
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 c2 c3 P1 P2 O");
+  feed(fixture, {{"P1", {1000, AnswerDetail::kFilled}}, {"P2", {1000, AnswerDetail::kFilled}}}, 10, 1000);
   for (int i = 0, lost = 0; lost < 3; ++i) {
     const std::string id = named("p", i);
-    rig.request(id, i);
-    const bool gone = rig.source_of[id] == "P1";
-    rig.ends(id, 0, gone ? Result::kRejected : Result::kCompleted,
-             gone ? AnswerDetail::kSourceLost : AnswerDetail::kFilled, 0.3);
-    if (gone) rig.ends(id, 1, Result::kCompleted, AnswerDetail::kFilled, 0.3), ++lost;
+    fixture.request(id, i);
+    const bool gone = fixture.source_of[id] == "P1";
+    fixture.ends(id, 0, gone ? Result::kRejected : Result::kCompleted,
+                 gone ? AnswerDetail::kSourceLost : AnswerDetail::kFilled, 0.3);
+    if (gone) fixture.ends(id, 1, Result::kCompleted, AnswerDetail::kFilled, 0.3), ++lost;
   }
-  rig.say("a while later its trial goes well, and it has its requests again");
-  rig.after(2);
+  fixture.say("a while later its trial goes well, and it has its requests again");
+  fixture.after(2);
   for (int i = 40; i < 46; ++i) {
     const std::string id = named("p", i);
-    rig.request(id, i);
-    rig.ends(id, 0, Result::kCompleted, AnswerDetail::kFilled, 0.3);
+    fixture.request(id, i);
+    fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kFilled, 0.3);
   }
-  check_trace("lost_parent", rig.taken());
+  check_trace("lost_parent", fixture.taken());
 }
 
 TEST_CASE("the origin only when no parent is kept") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 O");
-  rig.request("p1", 1);
-  rig.say("both parents refuse: they are still kept, the origin is not asked");
-  rig.ends("p1", 0, Result::kRejected, AnswerDetail::kSourceRejected);
-  rig.ends("p1", 1, Result::kRejected, AnswerDetail::kSourceRejected);
-  rig.ends("p1", 2, Result::kCompleted, AnswerDetail::kHit);
-  rig.say("both are gone from the list");
-  rig.list(ListCompleteness::kChanges, "P1 P2", EndpointState::kRemoved);
-  rig.request("p2", 2);
-  check_trace("origin_last", rig.taken());
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 c2 P1 P2 O");
+  fixture.request("p1", 1);
+  fixture.say("both parents refuse: they are still kept, the origin is not asked");
+  fixture.ends("p1", 0, Result::kRejected, AnswerDetail::kSourceRejected);
+  fixture.ends("p1", 1, Result::kRejected, AnswerDetail::kSourceRejected);
+  fixture.ends("p1", 2, Result::kCompleted, AnswerDetail::kHit);
+  fixture.say("both are gone from the list");
+  fixture.list(ListCompleteness::kChanges, "P1 P2", EndpointState::kRemoved);
+  fixture.request("p2", 2);
+  check_trace("origin_last", fixture.taken());
 }
 
 TEST_CASE("what the origin failed behind one parent is not asked of the next") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, kAll);
-  rig.request("p1", 1);
-  rig.ends("p1", 0, Result::kRejected, AnswerDetail::kOriginFailed);
-  check_trace("origin_failed", rig.taken());
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, kAll);
+  fixture.request("p1", 1);
+  fixture.ends("p1", 0, Result::kRejected, AnswerDetail::kOriginFailed);
+  check_trace("origin_failed", fixture.taken());
 }
 
 TEST_CASE("a crowded cache: the second by the hash, then a bounce at once") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 P3 O");
-  for (int i = 0; i < 40; ++i) rig.request(named("p", i), i);
-  const std::string trace = rig.taken();
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 c2 P1 P2 P3 O");
+  for (int i = 0; i < 40; ++i) fixture.request(named("p", i), i);
+  const std::string trace = fixture.taken();
   std::map<std::string, int> kinds;
   for (const char* what : {"to c1", "to c2", "bounce"}) {
     for (std::size_t at = 0; (at = trace.find(what, at)) != std::string::npos; ++at) ++kinds[what];
@@ -199,59 +199,59 @@
 }
 
 TEST_CASE("rule 1: one final answer") {
-  Rig rig;
-  rig.say("nobody listed");
-  rig.request("p1", 1);
-  rig.list(ListCompleteness::kCached, kAll);
-  rig.say("a time-out at the hard stop");
-  rig.request("p2", 2, 3);
-  rig.ends("p2", 0, Result::kTimedOut, AnswerDetail::kNone, 5);
-  rig.say("dropped: only a cancel may follow, and what is heard later changes nothing");
-  rig.request("p3", 3);
-  rig.director->client_disconnected(rig.now, {"p3"});
-  rig.ends("p3", 0, Result::kCancelled, AnswerDetail::kNone, 0.01, true);
-  rig.director->timer_fired(rig.now, {"late:0:p3"});
-  rig.director->timer_fired(rig.now, {"resume:p3"});
-  rig.ends("p3", 0, Result::kCompleted);
-  rig.say("all turn it away: a pause, and its wake comes a hair too early");
-  rig.list(ListCompleteness::kFull, "c1 P1");
-  rig.request("p4", 4);
-  rig.ends("p4", 0, Result::kRejected);
-  rig.now = rig.timers.begin()->first;
-  for (const auto& [at, token] : std::multimap<Seconds, TimerToken>(rig.timers)) {
+  DirectorFixture fixture;
+  fixture.say("nobody listed");
+  fixture.request("p1", 1);
+  fixture.list(ListCompleteness::kCached, kAll);
+  fixture.say("a time-out at the hard stop");
+  fixture.request("p2", 2, 3);
+  fixture.ends("p2", 0, Result::kTimedOut, AnswerDetail::kNone, 5);
+  fixture.say("dropped: only a cancel may follow, and what is heard later changes nothing");
+  fixture.request("p3", 3);
+  fixture.director->client_disconnected(fixture.now, {"p3"});
+  fixture.ends("p3", 0, Result::kCancelled, AnswerDetail::kNone, 0.01, true);
+  fixture.director->timer_fired(fixture.now, {"late:0:p3"});
+  fixture.director->timer_fired(fixture.now, {"resume:p3"});
+  fixture.ends("p3", 0, Result::kCompleted);
+  fixture.say("all turn it away: a pause, and its wake comes a hair too early");
+  fixture.list(ListCompleteness::kFull, "c1 P1");
+  fixture.request("p4", 4);
+  fixture.ends("p4", 0, Result::kRejected);
+  fixture.now = fixture.timers.begin()->first;
+  for (const auto& [at, token] : std::multimap<Seconds, TimerToken>(fixture.timers)) {
     if (!token.value.starts_with("resume:p4")) continue;
-    rig.now = at - 1e-7;
-    rig.director->timer_fired(rig.now, token);
+    fixture.now = at - 1e-7;
+    fixture.director->timer_fired(fixture.now, token);
   }
-  check_trace("rule1_one_answer", rig.taken());
+  check_trace("rule1_one_answer", fixture.taken());
 }
 
 TEST_CASE("after a slow spell the first attempt is still made") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 P1 O");
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 P1 O");
   for (int i = 0; i < 3; ++i) {
-    rig.request(named("p", i), i);
-    rig.ends(named("p", i), 0, Result::kCompleted, AnswerDetail::kHit, 4.9);
+    fixture.request(named("p", i), i);
+    fixture.ends(named("p", i), 0, Result::kCompleted, AnswerDetail::kHit, 4.9);
   }
-  rig.taken();
-  rig.request("next", 9, 0, 4000);
-  check_trace("slow_spell", rig.taken());
+  fixture.taken();
+  fixture.request("next", 9, 0, 4000);
+  check_trace("slow_spell", fixture.taken());
 }
 
 TEST_CASE("rule 2: no effect twice") {
-  Rig rig(Settings{{"FamilyInfo.Direct", "true"}});
-  rig.list(ListCompleteness::kCached, "c1 c2 c4 P1 P2 O");
-  rig.say("binding, turned away unseen: once more; broken: forfeit, nothing else");
-  rig.request("b1", 1, 2);
-  rig.ends("b1", 0, Result::kRejected);
-  rig.run_until(rig.now + 0.2);
-  rig.ends("b1", 1, Result::kBroken);
-  rig.say("retriable, broken: the next cache");
-  rig.request("s1", 2);
-  rig.ends("s1", 0, Result::kBroken);
-  check_trace("rule2_binding", rig.taken());
-
-  Rig group(Settings{{"RequestClasses.3.Group", "cell"}});
+  DirectorFixture fixture(Settings{{"FamilyInfo.Direct", "true"}});
+  fixture.list(ListCompleteness::kCached, "c1 c2 c4 P1 P2 O");
+  fixture.say("binding, turned away unseen: once more; broken: forfeit, nothing else");
+  fixture.request("b1", 1, 2);
+  fixture.ends("b1", 0, Result::kRejected);
+  fixture.run_until(fixture.now + 0.2);
+  fixture.ends("b1", 1, Result::kBroken);
+  fixture.say("retriable, broken: the next cache");
+  fixture.request("s1", 2);
+  fixture.ends("s1", 0, Result::kBroken);
+  check_trace("rule2_binding", fixture.taken());
+
+  DirectorFixture group(Settings{{"RequestClasses.3.Group", "cell"}});
   group.list(ListCompleteness::kCached, "c1 c2 c4 P1 O");
   for (const int object : {1, 2, 3, 4}) {
     const std::string id = named("f", object);
@@ -264,42 +264,42 @@
 }
 
 TEST_CASE("rule 3: drains") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 O");
-  for (int i = 1; i <= 4; ++i) rig.request(named("p", i), i);
-  rig.say("c1 and P1 drain");
-  rig.list(ListCompleteness::kChanges, "c1 P1", EndpointState::kDraining);
-  for (int i = 1; i <= 4; ++i) rig.request(named("q", i), i);
-  rig.say("a full list without c2");
-  rig.list(ListCompleteness::kFull, "c1 P2 O");
-  rig.request("r1", 1);
-  check_trace("rule3_drains", rig.taken());
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 c2 P1 P2 O");
+  for (int i = 1; i <= 4; ++i) fixture.request(named("p", i), i);
+  fixture.say("c1 and P1 drain");
+  fixture.list(ListCompleteness::kChanges, "c1 P1", EndpointState::kDraining);
+  for (int i = 1; i <= 4; ++i) fixture.request(named("q", i), i);
+  fixture.say("a full list without c2");
+  fixture.list(ListCompleteness::kFull, "c1 P2 O");
+  fixture.request("r1", 1);
+  check_trace("rule3_drains", fixture.taken());
 }
 
 TEST_CASE("rule 4: cold nodes") {
-  const auto most_in_two_seconds = [](const std::string& node, Rig& rig) {
+  const auto most_in_two_seconds = [](const std::string& node, DirectorFixture& fixture) {
     double work = 0;
     for (int i = 0; i < 60; ++i) {
       const std::string id = named("p", i);
-      rig.request(id, i);
-      for (std::size_t n = 0; n < rig.node_of[id].size(); ++n) {
-        const bool look = rig.source_of[id] == rig.node_of[id][n];
-        const bool meant = rig.node_of[id][n] == node || rig.source_of[id] == node;
+      fixture.request(id, i);
+      for (std::size_t n = 0; n < fixture.node_of[id].size(); ++n) {
+        const bool look = fixture.source_of[id] == fixture.node_of[id][n];
+        const bool meant = fixture.node_of[id][n] == node || fixture.source_of[id] == node;
         if (meant) work += 0.4;
         if (look)
-          rig.ends(id, static_cast<int>(n), Result::kAbsent, AnswerDetail::kNone, 0.0);
+          fixture.ends(id, static_cast<int>(n), Result::kAbsent, AnswerDetail::kNone, 0.0);
         else
-          rig.ends(id, static_cast<int>(n), Result::kCompleted, AnswerDetail::kFilled, 0.02);
+          fixture.ends(id, static_cast<int>(n), Result::kCompleted, AnswerDetail::kFilled, 0.02);
       }
     }
-    return "work sent to " + node + " in 1.2 s: " + Rig::text(work) + "\n";
+    return "work sent to " + node + " in 1.2 s: " + DirectorFixture::text(work) + "\n";
   };
-  Rig cache;
+  DirectorFixture cache;
   cache.list(ListCompleteness::kCached, "c1 P1 O");
   cache.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, 99.9);
-  Rig warm;
+  DirectorFixture warm;
   warm.list(ListCompleteness::kCached, "c1 P1 O");
-  Rig parent;
+  DirectorFixture parent;
   parent.list(ListCompleteness::kCached, "c1 c2 P1 O");
   parent.list(ListCompleteness::kChanges, "P1", EndpointState::kRunning, 99.9);
   check_trace("rule4_cold", "cold cache, " + most_in_two_seconds("c1", cache) + "warm cache, " +
@@ -308,40 +308,40 @@
 }
 
 TEST_CASE("no fill is started for what is under way already, where none can be joined") {
-  Rig rig(Settings{{"FamilyInfo.CanJoin", "false"}});
-  rig.list(ListCompleteness::kCached, kAll);
-  rig.request("p1", 1);
-  rig.say("nothing there: a fill");
-  rig.ends("p1", 0, Result::kAbsent);
-  rig.request("p2", 1);
-  rig.say("one is under way: another look in a moment, and it is there");
-  rig.ends("p2", 0, Result::kAbsent, AnswerDetail::kJoined);
-  rig.run_until(rig.now + 0.2);
-  rig.ends("p2", 1, Result::kCompleted, AnswerDetail::kHit, 0.1);
-  rig.request("p3", 2);
-  rig.say("too late for another look: it is not held until its hard stop");
-  rig.after(4.85);
-  rig.ends("p3", 0, Result::kAbsent, AnswerDetail::kJoined);
-  check_trace("look_first", rig.taken());
+  DirectorFixture fixture(Settings{{"FamilyInfo.CanJoin", "false"}});
+  fixture.list(ListCompleteness::kCached, kAll);
+  fixture.request("p1", 1);
+  fixture.say("nothing there: a fill");
+  fixture.ends("p1", 0, Result::kAbsent);
+  fixture.request("p2", 1);
+  fixture.say("one is under way: another look in a moment, and it is there");
+  fixture.ends("p2", 0, Result::kAbsent, AnswerDetail::kJoined);
+  fixture.run_until(fixture.now + 0.2);
+  fixture.ends("p2", 1, Result::kCompleted, AnswerDetail::kHit, 0.1);
+  fixture.request("p3", 2);
+  fixture.say("too late for another look: it is not held until its hard stop");
+  fixture.after(4.85);
+  fixture.ends("p3", 0, Result::kAbsent, AnswerDetail::kJoined);
+  check_trace("look_first", fixture.taken());
 }
 
 TEST_CASE("fills that failed are tried again in proportion to those that come in") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, kAll);
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, kAll);
   std::string line;
   const auto refused = [&](int first) {
     line += "attempts of requests whose fills are refused:";
     for (int i = first; i < first + 8; ++i) {
       const std::string id = named("p", i);
-      rig.request(id, static_cast<std::uint64_t>(i));
-      for (std::size_t n = 0; n < rig.node_of[id].size(); ++n)
-        rig.ends(id, static_cast<int>(n), Result::kRejected, AnswerDetail::kSourceRejected);
-      line += " " + std::to_string(rig.node_of[id].size());
+      fixture.request(id, static_cast<std::uint64_t>(i));
+      for (std::size_t n = 0; n < fixture.node_of[id].size(); ++n)
+        fixture.ends(id, static_cast<int>(n), Result::kRejected, AnswerDetail::kSourceRejected);
+      line += " " + std::to_string(fixture.node_of[id].size());
     }
     line += "\n";
   };
   refused(0);
-  feed(rig,
+  feed(fixture,
        {{"P1", {1000, AnswerDetail::kFilled}},
         {"P2", {1000, AnswerDetail::kFilled}},
         {"P3", {1000, AnswerDetail::kFilled}}},
@@ -352,45 +352,45 @@
 }
 
 TEST_CASE("as the origin fails, parents give what they hold to more and more of the requests") {
-  Rig rig(Settings{{"FamilyInfo.Direct", "true"}});
-  rig.list(ListCompleteness::kCached, kAll);
+  DirectorFixture fixture(Settings{{"FamilyInfo.Direct", "true"}});
+  fixture.list(ListCompleteness::kCached, kAll);
   std::string line;
   const auto fetching = [&](const std::string& what, int first, Result result, AnswerDetail note) {
     int fetches = 0;
     for (int i = first; i < first + 40; ++i) {
       const std::string id = named("p", i);
-      rig.request(id, static_cast<std::uint64_t>(i));
-      fetches += rig.cached_only_of[id] ? 0 : 1;
-      rig.ends(id, 0, result, note, 0.05);
-      if (rig.node_of[id].size() > 1) rig.ends(id, 1, Result::kAbsent, AnswerDetail::kNone, 0.0);
+      fixture.request(id, static_cast<std::uint64_t>(i));
+      fetches += fixture.cached_only_of[id] ? 0 : 1;
+      fixture.ends(id, 0, result, note, 0.05);
+      if (fixture.node_of[id].size() > 1) fixture.ends(id, 1, Result::kAbsent, AnswerDetail::kNone, 0.0);
     }
     line += what + ": parents may fetch for " + std::to_string(fetches) + " of 40\n";
   };
   fetching("the origin fails", 0, Result::kRejected, AnswerDetail::kOriginFailed);
   fetching("still", 100, Result::kRejected, AnswerDetail::kOriginFailed);
-  rig.after(4);
+  fixture.after(4);
   fetching("a calm while later, all goes well", 200, Result::kCompleted, AnswerDetail::kFilledByOrigin);
   fetching("and on", 300, Result::kCompleted, AnswerDetail::kFilledByOrigin);
-  rig.say("a write that the origin turns away asks again after a pause");
-  rig.request("w", 900, 2);
-  rig.ends("w", 0, Result::kRejected);
-  rig.run_until(rig.now + 0.2);
-  check_trace("origin_part", line + rig.trace.substr(rig.trace.find("-- a write")));
+  fixture.say("a write that the origin turns away asks again after a pause");
+  fixture.request("w", 900, 2);
+  fixture.ends("w", 0, Result::kRejected);
+  fixture.run_until(fixture.now + 0.2);
+  check_trace("origin_part", line + fixture.trace.substr(fixture.trace.find("-- a write")));
 }
 
 TEST_CASE("a full link thins out fills alike for an object's repeats; a late fill keeps no hit out") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, kAll);
-  rig.request("p0", 1);
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, kAll);
+  fixture.request("p0", 1);
   for (int i = 0; i < 6; ++i) {
-    rig.after(1);
-    rig.director->attempt_ended(rig.now, {"none"}, {0}, {"c1"}, Result::kCompleted, AnswerDetail::kHit, 0,
-                                0.1, {{"x1", 9.0}}, true);
+    fixture.after(1);
+    fixture.director->attempt_ended(fixture.now, {"none"}, {0}, {"c1"}, Result::kCompleted,
+                                    AnswerDetail::kHit, 0, 0.1, {{"x1", 9.0}}, true);
   }
   for (int object = 1; object <= 8; ++object)
-    for (int again = 0; again < 2; ++again) rig.request(named("o", object) + named("-", again), object);
-  rig.say("c1 alone, its room taken by fills that wait on their source");
-  Rig late(Settings{{"Permissions.SecondCopies", "false"}});
+    for (int again = 0; again < 2; ++again) fixture.request(named("o", object) + named("-", again), object);
+  fixture.say("c1 alone, its room taken by fills that wait on their source");
+  DirectorFixture late(Settings{{"Permissions.SecondCopies", "false"}});
   late.list(ListCompleteness::kCached, "c1 P1 P2 P3 O");
   int filled = 0;
   for (int i = 0; i < 30; ++i) late.request(named("f", i), static_cast<std::uint64_t>(i));
@@ -399,58 +399,58 @@
   late.run_until(late.now + 2.5);
   late.taken();
   late.request("next", 77);
-  check_trace("full_link", rig.taken() + std::to_string(filled) + " are out, and late: " + late.taken());
+  check_trace("full_link", fixture.taken() + std::to_string(filled) + " are out, and late: " + late.taken());
 }
 
 TEST_CASE("rule 5: purges") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, kAll);
-  rig.director->object_purged(rig.now, {1}, 0.5);
-  rig.director->group_purged(rig.now, {2}, 0);
-  rig.request("object", 1);
-  rig.request("group", 2);
-  rig.request("other", 3);
-  rig.after(1);
-  rig.request("fresh-time", 10, 1);
-  rig.after(20);
-  rig.run_until(rig.now);
-  rig.request("done", 1);
-  check_trace("rule5_purges", rig.taken());
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, kAll);
+  fixture.director->object_purged(fixture.now, {1}, 0.5);
+  fixture.director->group_purged(fixture.now, {2}, 0);
+  fixture.request("object", 1);
+  fixture.request("group", 2);
+  fixture.request("other", 3);
+  fixture.after(1);
+  fixture.request("fresh-time", 10, 1);
+  fixture.after(20);
+  fixture.run_until(fixture.now);
+  fixture.request("done", 1);
+  check_trace("rule5_purges", fixture.taken());
 }
 
 TEST_CASE("rule 5: a purge that every node has done by now bounds nothing") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, kAll);
-  const double done = std::stod(Rig::usual_settings()["FamilyInfo.PurgeDoneS"]) + 1;
-  rig.director->object_purged(rig.now, {1}, done + 0.1);
-  rig.director->object_purged(rig.now, {2}, done - 0.1);
-  rig.request("done", 1);
-  CHECK(rig.taken().find("s old") == std::string::npos);
-  rig.request("not-done", 2);
-  CHECK(rig.taken().find("at most 6.900 s old") != std::string::npos);
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, kAll);
+  const double done = std::stod(DirectorFixture::usual_settings()["FamilyInfo.PurgeDoneS"]) + 1;
+  fixture.director->object_purged(fixture.now, {1}, done + 0.1);
+  fixture.director->object_purged(fixture.now, {2}, done - 0.1);
+  fixture.request("done", 1);
+  CHECK(fixture.taken().find("s old") == std::string::npos);
+  fixture.request("not-done", 2);
+  CHECK(fixture.taken().find("at most 6.900 s old") != std::string::npos);
 }
 
 TEST_CASE("a silent cache: a second copy elsewhere, and the loser is called off") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 c2 P1 O");
-  rig.request("p1", 1);
-  rig.run_until(rig.now + 2);
-  rig.ends("p1", 1, Result::kCompleted, AnswerDetail::kFilled, 0.4);
-  check_trace("silent_cache", rig.taken());
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 c2 P1 O");
+  fixture.request("p1", 1);
+  fixture.run_until(fixture.now + 2);
+  fixture.ends("p1", 1, Result::kCompleted, AnswerDetail::kFilled, 0.4);
+  check_trace("silent_cache", fixture.taken());
 }
 
 TEST_CASE("one broken attempt may be chance, two in a row leave the cache out") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 c2 P1 O");
-  rig.request("p1", 1);
-  rig.ends("p1", 0, Result::kBroken);
-  rig.ends("p1", 1, Result::kBroken);
-  rig.ends("p1", 2, Result::kCompleted, AnswerDetail::kFilled, 0.4);
-  check_trace("broken", rig.taken());
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 c2 P1 O");
+  fixture.request("p1", 1);
+  fixture.ends("p1", 0, Result::kBroken);
+  fixture.ends("p1", 1, Result::kBroken);
+  fixture.ends("p1", 2, Result::kCompleted, AnswerDetail::kFilled, 0.4);
+  check_trace("broken", fixture.taken());
 }
 
 TEST_CASE("settings: no second copies, no parents, list by asking, nothing set") {
-  Rig single(Settings{{"Permissions.SecondCopies", "false"}});
+  DirectorFixture single(Settings{{"Permissions.SecondCopies", "false"}});
   single.list(ListCompleteness::kCached, "c1 c2 P1 O");
   single.request("p1", 1);
   single.say(
@@ -459,14 +459,14 @@
   single.run_until(single.now + 2);
   single.ends("p1", 0, Result::kCancelled);
   std::string trace = "no second copies\n" + single.taken();
-  Rig flat(
+  DirectorFixture flat(
       Settings{{"FamilyInfo.ShieldKind", "-1"}, {"FamilyInfo.PeersFill", "none"}, {"MembershipMode", "ask"}});
   flat.list(ListCompleteness::kFailed, "");
   flat.run_until(flat.now + 1.5);
   flat.list(ListCompleteness::kFull, "c1 c2 O");
   flat.request("p1", 1);
   trace += "no parents, list by asking\n" + flat.taken();
-  Rig bare;
+  DirectorFixture bare;
   bare.director = std::make_unique<Director>(bare.now, Settings{}, 1, bare);
   bare.list(ListCompleteness::kCached, "c1");
   bare.request("p1", 1);
@@ -475,110 +475,110 @@
 }
 
 TEST_CASE("a transfer that is late with most of its slack left is no crowd: rooms stay") {
-  Rig rig;
-  rig.list(ListCompleteness::kFull, "c1 P1 O");
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kFull, "c1 P1 O");
   for (int i = 0; i < 12; ++i) {
-    const Seconds start = rig.now;
+    const Seconds start = fixture.now;
     const std::string late = "a" + std::to_string(i);
-    rig.request(late, 1000 + i, 0, 2000);
+    fixture.request(late, 1000 + i, 0, 2000);
     for (const char* quick : {"b", "c"}) {
       const std::string id = quick + std::to_string(i);
-      rig.request(id, 2000 + 2 * i + (*quick == 'c'), 0, 2000);
-      rig.ends(id, 0, Result::kCompleted, AnswerDetail::kFilled, 1.2);
+      fixture.request(id, 2000 + 2 * i + (*quick == 'c'), 0, 2000);
+      fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kFilled, 1.2);
     }
-    rig.run_until(start + 2.95);
-    rig.director->attempt_ended(rig.now, {late}, {0}, {"c1"}, Result::kCompleted, AnswerDetail::kFilled, 0.1,
-                                2.95, {}, true);
+    fixture.run_until(start + 2.95);
+    fixture.director->attempt_ended(fixture.now, {late}, {0}, {"c1"}, Result::kCompleted,
+                                    AnswerDetail::kFilled, 0.1, 2.95, {}, true);
   }
-  rig.taken();
-  for (int i = 0; i < 11; ++i) rig.request("d" + std::to_string(i), 3000 + i, 0, 2000);
-  const std::string trace = rig.taken();
+  fixture.taken();
+  for (int i = 0; i < 11; ++i) fixture.request("d" + std::to_string(i), 3000 + i, 0, 2000);
+  const std::string trace = fixture.taken();
   CHECK_MESSAGE(trace.find("no fill") == std::string::npos, trace);  // a parent without room
 }
 
 TEST_CASE("nodes that are gone are forgotten, with nothing of them out and their budget past") {
-  Rig rig;
-  rig.list(ListCompleteness::kFull, "c0 P1 O");
-  rig.request("out", 77);
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kFull, "c0 P1 O");
+  fixture.request("out", 77);
   for (int i = 0; i < 50; ++i) {
-    rig.list(ListCompleteness::kChanges, "c" + std::to_string(i), EndpointState::kRemoved);
-    rig.list(ListCompleteness::kChanges, "c" + std::to_string(i + 1));
-    rig.run_until(rig.now + 5);
+    fixture.list(ListCompleteness::kChanges, "c" + std::to_string(i), EndpointState::kRemoved);
+    fixture.list(ListCompleteness::kChanges, "c" + std::to_string(i + 1));
+    fixture.run_until(fixture.now + 5);
   }
-  CHECK(rig.director->nodes_known() < 15);  // ten of the last 30 s, and those listed
-  rig.ends("out", 0, Result::kTimedOut, AnswerDetail::kNone, 0, true);
-  rig.list(ListCompleteness::kChanges, "c0");
-  rig.list(ListCompleteness::kChanges, "c50", EndpointState::kRemoved);
-  rig.taken();
-  for (int i = 0; i < 9; ++i) rig.request("p" + std::to_string(i), 5000 + i);
-  check_trace("came_back", rig.taken());  // as one that has just started: no more than its budget
+  CHECK(fixture.director->nodes_known() < 15);  // ten of the last 30 s, and those listed
+  fixture.ends("out", 0, Result::kTimedOut, AnswerDetail::kNone, 0, true);
+  fixture.list(ListCompleteness::kChanges, "c0");
+  fixture.list(ListCompleteness::kChanges, "c50", EndpointState::kRemoved);
+  fixture.taken();
+  for (int i = 0; i < 9; ++i) fixture.request("p" + std::to_string(i), 5000 + i);
+  check_trace("came_back", fixture.taken());  // as one that has just started: no more than its budget
 }
 
 TEST_CASE("late attempts far from a room's limit tell of delays: rooms stay") {
-  Rig rig;
-  rig.list(ListCompleteness::kFull, "c1 P1 O");
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kFull, "c1 P1 O");
   for (int i = 0; i < 12; ++i) {
-    const Seconds start = rig.now;
+    const Seconds start = fixture.now;
     const std::string late = "a" + std::to_string(i), good = "b" + std::to_string(i);
-    rig.request(late, 1000 + i, 0, 10);
-    rig.after(0.01);
-    rig.request(good, 3000 + i, 0, 10);
-    rig.ends(good, 0, Result::kCompleted, AnswerDetail::kFilled, 0.02);
-    rig.run_until(start + 1.5);
-    rig.ends(late, 0, Result::kCompleted, AnswerDetail::kFilled, 0.01);
+    fixture.request(late, 1000 + i, 0, 10);
+    fixture.after(0.01);
+    fixture.request(good, 3000 + i, 0, 10);
+    fixture.ends(good, 0, Result::kCompleted, AnswerDetail::kFilled, 0.02);
+    fixture.run_until(start + 1.5);
+    fixture.ends(late, 0, Result::kCompleted, AnswerDetail::kFilled, 0.01);
   }
-  rig.taken();
-  for (int i = 0; i < 11; ++i) rig.request("d" + std::to_string(i), 4000 + i, 0, 10);
-  const std::string trace = rig.taken();
+  fixture.taken();
+  for (int i = 0; i < 11; ++i) fixture.request("d" + std::to_string(i), 4000 + i, 0, 10);
+  const std::string trace = fixture.taken();
   CHECK_MESSAGE(trace.find("no fill") == std::string::npos, trace);
 }
 
 TEST_CASE("a cache that took a home over is filled from the one that held it, then from the parent") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 P3 O");
-  rig.after(30);
-  rig.list(ListCompleteness::kChanges, "c3", EndpointState::kRunning, rig.now);
-  rig.after(5);
-  rig.taken();
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 c2 P1 P2 P3 O");
+  fixture.after(30);
+  fixture.list(ListCompleteness::kChanges, "c3", EndpointState::kRunning, fixture.now);
+  fixture.after(5);
+  fixture.taken();
   int at_new = 0, from_sibling = 0;
   for (int object = 1; object <= 30; ++object) {
     const std::string id = named("o", object);
-    rig.request(id, static_cast<std::uint64_t>(object), 0, 5);
-    const bool sibling = rig.source_of[id][0] == 'c';
-    at_new += rig.node_of[id][0] == "c3", from_sibling += sibling && rig.node_of[id][0] == "c3";
-    CHECK(sibling == (rig.node_of[id][0] == "c3"));
-    rig.ends(id, 0, Result::kCompleted, sibling ? AnswerDetail::kFilled : AnswerDetail::kHit, 0.1);
+    fixture.request(id, static_cast<std::uint64_t>(object), 0, 5);
+    const bool sibling = fixture.source_of[id][0] == 'c';
+    at_new += fixture.node_of[id][0] == "c3", from_sibling += sibling && fixture.node_of[id][0] == "c3";
+    CHECK(sibling == (fixture.node_of[id][0] == "c3"));
+    fixture.ends(id, 0, Result::kCompleted, sibling ? AnswerDetail::kFilled : AnswerDetail::kHit, 0.1);
   }
   CHECK(at_new > 3);
   CHECK(from_sibling == at_new);
-  rig.taken();
-  for (int object = 31; object < 300 && rig.trace.find("fill from c") == std::string::npos; ++object) {
-    rig.taken();
-    rig.request("lacks", static_cast<std::uint64_t>(object), 0, 5);
-    if (rig.source_of["lacks"][0] != 'c')
-      rig.ends("lacks", 0, Result::kCompleted, AnswerDetail::kHit, 0.1), rig.node_of.erase("lacks");
+  fixture.taken();
+  for (int object = 31; object < 300 && fixture.trace.find("fill from c") == std::string::npos; ++object) {
+    fixture.taken();
+    fixture.request("lacks", static_cast<std::uint64_t>(object), 0, 5);
+    if (fixture.source_of["lacks"][0] != 'c')
+      fixture.ends("lacks", 0, Result::kCompleted, AnswerDetail::kHit, 0.1), fixture.node_of.erase("lacks");
   }
-  rig.ends("lacks", 0, Result::kAbsent, AnswerDetail::kSourceMissed, 0.002);
-  CHECK(rig.node_of["lacks"][1] == "c3");
-  CHECK(rig.source_of["lacks"][0] == 'P');
+  fixture.ends("lacks", 0, Result::kAbsent, AnswerDetail::kSourceMissed, 0.002);
+  CHECK(fixture.node_of["lacks"][1] == "c3");
+  CHECK(fixture.source_of["lacks"][0] == 'P');
 }
 
 TEST_CASE("a link a little too full sheds a little, one far too full much; neither swings open at once") {
   const auto filled = [](std::initializer_list<double> reports) {
-    Rig rig;
-    rig.list(ListCompleteness::kCached, kAll);
+    DirectorFixture fixture;
+    fixture.list(ListCompleteness::kCached, kAll);
     for (const double fullness : reports) {
-      rig.after(1);
-      rig.director->attempt_ended(rig.now, {"none"}, {0}, {"c1"}, Result::kCompleted, AnswerDetail::kHit, 0,
-                                  0.1, {{"x1", fullness}}, true);
+      fixture.after(1);
+      fixture.director->attempt_ended(fixture.now, {"none"}, {0}, {"c1"}, Result::kCompleted,
+                                      AnswerDetail::kHit, 0, 0.1, {{"x1", fullness}}, true);
     }
-    rig.request("first", 1000);
+    fixture.request("first", 1000);
     int fills = 0;
     for (int object = 1; object <= 100; ++object) {
       const std::string id = named("o", object);
-      rig.request(id, static_cast<std::uint64_t>(object));
-      fills += rig.source_of.contains(id) && rig.source_of[id][0] == 'P';
-      if (!rig.node_of[id].empty()) rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0);
+      fixture.request(id, static_cast<std::uint64_t>(object));
+      fills += fixture.source_of.contains(id) && fixture.source_of[id][0] == 'P';
+      if (!fixture.node_of[id].empty()) fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0);
     }
     return fills;
   };
@@ -592,69 +592,69 @@
 }
 
 TEST_CASE("an origin whose waits grow is spared before it refuses, and a single refusal cuts nothing") {
-  const auto fetches = [](const std::function<void(Rig&)>& before) {
-    Rig rig(Settings{{"FamilyInfo.Direct", "true"}});
-    rig.list(ListCompleteness::kCached, kAll);
+  const auto fetches = [](const std::function<void(DirectorFixture&)>& before) {
+    DirectorFixture fixture(Settings{{"FamilyInfo.Direct", "true"}});
+    fixture.list(ListCompleteness::kCached, kAll);
     for (int i = 0; i < 10; ++i) {
-      rig.request(named("usual", i), static_cast<std::uint64_t>(i));
-      rig.ends(named("usual", i), 0, Result::kCompleted, AnswerDetail::kFilledByOrigin, 0.2);
+      fixture.request(named("usual", i), static_cast<std::uint64_t>(i));
+      fixture.ends(named("usual", i), 0, Result::kCompleted, AnswerDetail::kFilledByOrigin, 0.2);
     }
-    before(rig);
+    before(fixture);
     int fetching = 0;
     for (int i = 100; i < 140; ++i) {
-      rig.request(named("p", i), static_cast<std::uint64_t>(i));
-      fetching += rig.cached_only_of[named("p", i)] ? 0 : 1;
+      fixture.request(named("p", i), static_cast<std::uint64_t>(i));
+      fetching += fixture.cached_only_of[named("p", i)] ? 0 : 1;
     }
     return fetching;
   };
-  CHECK(fetches([](Rig&) {}) == 40);
-  const auto waited = [](Rig& rig, Seconds each) {  // a quarter of it for the source
+  CHECK(fetches([](DirectorFixture&) {}) == 40);
+  const auto waited = [](DirectorFixture& fixture, Seconds each) {  // a quarter of it for the source
     for (int i = 10; i < 13; ++i) {
-      rig.request(named("slow", i), static_cast<std::uint64_t>(i));
-      rig.ends(named("slow", i), 0, Result::kCompleted, AnswerDetail::kFilledByOrigin, each);
+      fixture.request(named("slow", i), static_cast<std::uint64_t>(i));
+      fixture.ends(named("slow", i), 0, Result::kCompleted, AnswerDetail::kFilledByOrigin, each);
     }
   };
-  CHECK(fetches([&](Rig& rig) { waited(rig, 0.4); }) == 40);
-  CHECK(fetches([&](Rig& rig) { waited(rig, 2.4); }) < 36);
-  const auto refused = [](Rig& rig, int times) {
-    rig.request("w", 900, 2);
+  CHECK(fetches([&](DirectorFixture& fixture) { waited(fixture, 0.4); }) == 40);
+  CHECK(fetches([&](DirectorFixture& fixture) { waited(fixture, 2.4); }) < 36);
+  const auto refused = [](DirectorFixture& fixture, int times) {
+    fixture.request("w", 900, 2);
     for (int i = 0; i < times; ++i) {
-      rig.ends("w", i, Result::kRejected);
-      rig.run_until(rig.now + 0.2);
+      fixture.ends("w", i, Result::kRejected);
+      fixture.run_until(fixture.now + 0.2);
     }
   };
-  CHECK(fetches([&](Rig& rig) { refused(rig, 1); }) == 40);
-  CHECK(fetches([&](Rig& rig) { refused(rig, 2); }) < 40);
+  CHECK(fetches([&](DirectorFixture& fixture) { refused(fixture, 1); }) == 40);
+  CHECK(fetches([&](DirectorFixture& fixture) { refused(fixture, 2); }) < 40);
 }
 
 TEST_CASE("a late fill is tried behind another parent, but not while the origin behind all of them is slow") {
   const auto tries = [](bool origin_fails) {
-    Rig rig;
-    rig.list(ListCompleteness::kCached, kAll);
+    DirectorFixture fixture;
+    fixture.list(ListCompleteness::kCached, kAll);
     for (int i = 0; i < 10; ++i) {
-      rig.request(named("usual", i), static_cast<std::uint64_t>(i));
-      rig.ends(named("usual", i), 0, Result::kCompleted, AnswerDetail::kFilled, 0.5);
+      fixture.request(named("usual", i), static_cast<std::uint64_t>(i));
+      fixture.ends(named("usual", i), 0, Result::kCompleted, AnswerDetail::kFilled, 0.5);
     }
     if (origin_fails) {
-      rig.request("fails", 50);
-      rig.ends("fails", 0, Result::kRejected, AnswerDetail::kOriginFailed, 0.01);
+      fixture.request("fails", 50);
+      fixture.ends("fails", 0, Result::kRejected, AnswerDetail::kOriginFailed, 0.01);
     }
     for (int i = 60; i < 100; ++i) {  // one that may be filled, and whose cache is heard of meanwhile
       const std::string id = named("p", i);
-      rig.request(id, static_cast<std::uint64_t>(i));
-      if (rig.node_of[id].empty() || rig.source_of[id][0] != 'P') continue;
-      const std::string cache = rig.node_of[id][0];
-      rig.after(0.01);
+      fixture.request(id, static_cast<std::uint64_t>(i));
+      if (fixture.node_of[id].empty() || fixture.source_of[id][0] != 'P') continue;
+      const std::string cache = fixture.node_of[id][0];
+      fixture.after(0.01);
       for (int k = 200; k < 260; ++k) {
         const std::string other = named("k", k);
-        rig.request(other, static_cast<std::uint64_t>(k));
-        if (rig.node_of[other].empty()) continue;
-        const bool same = rig.node_of[other][0] == cache;
-        rig.ends(other, 0, Result::kCompleted, AnswerDetail::kHit, 0);
+        fixture.request(other, static_cast<std::uint64_t>(k));
+        if (fixture.node_of[other].empty()) continue;
+        const bool same = fixture.node_of[other][0] == cache;
+        fixture.ends(other, 0, Result::kCompleted, AnswerDetail::kHit, 0);
         if (same) break;
       }
-      rig.run_until(rig.now + 3);
-      return rig.node_of[id].size();
+      fixture.run_until(fixture.now + 3);
+      return fixture.node_of[id].size();
     }
     return std::size_t{0};
   };
@@ -665,22 +665,22 @@
 TEST_CASE("without second copies a late attempt goes on until its node is left out") {
   // Rounds of one that is late and one that is answered at once; the late one comes after all, or never.
   const auto cancels = [](int rounds, bool comes, bool heard) {
-    Rig rig(Settings{{"Permissions.SecondCopies", "false"}});
-    rig.list(ListCompleteness::kCached, "c1 P1 O");
+    DirectorFixture fixture(Settings{{"Permissions.SecondCopies", "false"}});
+    fixture.list(ListCompleteness::kCached, "c1 P1 O");
     for (int i = 0; i < rounds; ++i) {
       const std::string late = named("late", i), quick = named("quick", i);
-      rig.request(late, static_cast<std::uint64_t>(i));
-      const Seconds start = rig.now;
-      if (rig.node_of[late].empty()) continue;
-      rig.after(0.01);
-      rig.request(quick, static_cast<std::uint64_t>(100 + i));
-      if (heard) rig.ends(quick, 0, Result::kCompleted, AnswerDetail::kFilled, 0.4);
-      rig.run_until(start + (comes ? 0.85 : 4));
-      rig.director->attempt_ended(rig.now, {late}, {0}, {"c1"},
-                                  comes ? Result::kCompleted : Result::kTimedOut, AnswerDetail::kFilled, 0.1,
-                                  rig.now - start, {}, true);
+      fixture.request(late, static_cast<std::uint64_t>(i));
+      const Seconds start = fixture.now;
+      if (fixture.node_of[late].empty()) continue;
+      fixture.after(0.01);
+      fixture.request(quick, static_cast<std::uint64_t>(100 + i));
+      if (heard) fixture.ends(quick, 0, Result::kCompleted, AnswerDetail::kFilled, 0.4);
+      fixture.run_until(start + (comes ? 0.85 : 4));
+      fixture.director->attempt_ended(fixture.now, {late}, {0}, {"c1"},
+                                      comes ? Result::kCompleted : Result::kTimedOut, AnswerDetail::kFilled,
+                                      0.1, fixture.now - start, {}, true);
     }
-    const std::string trace = rig.taken();
+    const std::string trace = fixture.taken();
     int count = 0;
     for (auto at = trace.find("cancel"); at != std::string::npos; at = trace.find("cancel", at + 1)) ++count;
     return count;
@@ -693,74 +693,76 @@
 
 TEST_CASE(
     "late fills whose cache and parent are heard, and late writes, cut the origin's part; silence does not") {
-  const auto fetches = [](const std::function<void(Rig&)>& late) {
-    Rig rig(Settings{{"FamilyInfo.Direct", "true"}});
-    rig.list(ListCompleteness::kCached, "c1 P1 O");
+  const auto fetches = [](const std::function<void(DirectorFixture&)>& late) {
+    DirectorFixture fixture(Settings{{"FamilyInfo.Direct", "true"}});
+    fixture.list(ListCompleteness::kCached, "c1 P1 O");
     for (int i = 0; i < 10; ++i) {
-      rig.request(named("usual", i), static_cast<std::uint64_t>(i));
-      rig.ends(named("usual", i), 0, Result::kCompleted, AnswerDetail::kFilled, 0.4);
+      fixture.request(named("usual", i), static_cast<std::uint64_t>(i));
+      fixture.ends(named("usual", i), 0, Result::kCompleted, AnswerDetail::kFilled, 0.4);
     }
-    late(rig);
+    late(fixture);
     int fetching = 0;
     for (int i = 100; i < 140; ++i) {
-      rig.request(named("p", i), static_cast<std::uint64_t>(i));
-      fetching += !rig.node_of[named("p", i)].empty() && !rig.cached_only_of[named("p", i)];
-      rig.ends(named("p", i), 0, Result::kCompleted, AnswerDetail::kHit, 0);
+      fixture.request(named("p", i), static_cast<std::uint64_t>(i));
+      fetching += !fixture.node_of[named("p", i)].empty() && !fixture.cached_only_of[named("p", i)];
+      fixture.ends(named("p", i), 0, Result::kCompleted, AnswerDetail::kHit, 0);
     }
     return fetching;
   };
   const auto fill = [](bool heard, double size_kb = 50) {
-    return [heard, size_kb](Rig& rig) {
-      rig.request("late", 50, 0, size_kb);
-      rig.after(0.01);
-      rig.request("other", 51);
-      if (heard) rig.ends("other", 0, Result::kCompleted, AnswerDetail::kFilled, 0.4);
-      rig.run_until(rig.now + 1.2);
+    return [heard, size_kb](DirectorFixture& fixture) {
+      fixture.request("late", 50, 0, size_kb);
+      fixture.after(0.01);
+      fixture.request("other", 51);
+      if (heard) fixture.ends("other", 0, Result::kCompleted, AnswerDetail::kFilled, 0.4);
+      fixture.run_until(fixture.now + 1.2);
     };
   };
-  CHECK(fetches([](Rig&) {}) == 40);
+  CHECK(fetches([](DirectorFixture&) {}) == 40);
   CHECK(fetches(fill(false)) == 40);
   CHECK(fetches(fill(true)) < 36);
-  CHECK(fetches(fill(true, 400)) == 40);  // long in sending
-  CHECK(fetches([](Rig& rig) {            // one late write among many answers in good time is chance
+  CHECK(fetches(fill(true, 400)) == 40);        // long in sending
+  CHECK(fetches([](DirectorFixture& fixture) {  // one late write among many answers in good time is chance
           for (int i = 200; i < 240; ++i) {
-            rig.request(named("good", i), static_cast<std::uint64_t>(i));
-            rig.ends(named("good", i), 0, Result::kCompleted, AnswerDetail::kFilledByOrigin, 0.1);
+            fixture.request(named("good", i), static_cast<std::uint64_t>(i));
+            fixture.ends(named("good", i), 0, Result::kCompleted, AnswerDetail::kFilledByOrigin, 0.1);
           }
-          rig.request("w", 900, 2), rig.run_until(rig.now + 1.5);
+          fixture.request("w", 900, 2), fixture.run_until(fixture.now + 1.5);
         }) > 36);
-  CHECK(fetches([&](Rig& rig) {  // no longer than is usual at the origin
-          rig.request("usual-wait", 30);
-          rig.director->attempt_ended(rig.now, {"usual-wait"}, {0}, {"c1"}, Result::kCompleted,
-                                      AnswerDetail::kFilledByOrigin, 2.0, 0.4, {}, true);
-          fill(true)(rig);
+  CHECK(fetches([&](DirectorFixture& fixture) {  // no longer than is usual at the origin
+          fixture.request("usual-wait", 30);
+          fixture.director->attempt_ended(fixture.now, {"usual-wait"}, {0}, {"c1"}, Result::kCompleted,
+                                          AnswerDetail::kFilledByOrigin, 2.0, 0.4, {}, true);
+          fill(true)(fixture);
         }) == 40);
   // Once the origin is in trouble, silence past the contract time is laid to it where no news were due.
   const auto in_trouble = [&](bool late, Seconds without_news) {
-    return [late, without_news](Rig& rig) {
-      rig.after(without_news);
-      rig.request("fails", 40);
-      rig.ends("fails", 0, Result::kRejected, AnswerDetail::kOriginFailed, 0.01);
-      rig.after(0.1);
-      const Seconds end = rig.now + 1.2;
-      rig.request("late", 50, 0, 50);
-      if (!late) rig.ends("late", 0, Result::kCompleted, AnswerDetail::kHit, 0.05);
-      rig.run_until(end);
+    return [late, without_news](DirectorFixture& fixture) {
+      fixture.after(without_news);
+      fixture.request("fails", 40);
+      fixture.ends("fails", 0, Result::kRejected, AnswerDetail::kOriginFailed, 0.01);
+      fixture.after(0.1);
+      const Seconds end = fixture.now + 1.2;
+      fixture.request("late", 50, 0, 50);
+      if (!late) fixture.ends("late", 0, Result::kCompleted, AnswerDetail::kHit, 0.05);
+      fixture.run_until(end);
     };
   };
   CHECK(fetches(in_trouble(true, 15)) < fetches(in_trouble(false, 15)));
-  CHECK(fetches([](Rig& rig) { rig.request("w", 900, 2), rig.run_until(rig.now + 1.5); }) < 36);
+  CHECK(fetches([](DirectorFixture& fixture) {
+          fixture.request("w", 900, 2), fixture.run_until(fixture.now + 1.5);
+        }) < 36);
 }
 
 TEST_CASE(
     "rule 2: a fingerprinted request's repeat ends while repeats are dropped, and so may its client's") {
   const auto after_errors = [](Seconds first, Seconds second) {
-    Rig rig(Settings{{"RequestClasses.3.Group", "all"}, {"Permissions.MaxAttempts", "2"}});
-    rig.list(ListCompleteness::kCached, "c1 P1 O");
-    rig.request("f", 1, 3);
-    rig.ends("f", 0, Result::kError, AnswerDetail::kNone, first);
-    if (rig.node_of["f"].size() > 1) rig.ends("f", 1, Result::kError, AnswerDetail::kNone, second);
-    return rig.taken();
+    DirectorFixture fixture(Settings{{"RequestClasses.3.Group", "all"}, {"Permissions.MaxAttempts", "2"}});
+    fixture.list(ListCompleteness::kCached, "c1 P1 O");
+    fixture.request("f", 1, 3);
+    fixture.ends("f", 0, Result::kError, AnswerDetail::kNone, first);
+    if (fixture.node_of["f"].size() > 1) fixture.ends("f", 1, Result::kError, AnswerDetail::kNone, second);
+    return fixture.taken();
   };
   // A window of 2 s; an attempt is expected to take 0.675 s, a client is sent away for 1 s at most.
   CHECK(after_errors(0.1, 0.1).find("time-out 1.900 s") != std::string::npos);
@@ -774,24 +776,24 @@
 
 TEST_CASE("where no report tells of the link, fills far slower than hits thin out fills") {
   const auto fills = [](Seconds fill, bool told) {
-    Rig rig;
-    rig.list(ListCompleteness::kCached, "c1 P1 P2 O");
+    DirectorFixture fixture;
+    fixture.list(ListCompleteness::kCached, "c1 P1 P2 O");
     for (int i = 0; i < 40; ++i) {  // fewer than a fill's time apart: no room is in question
       const std::string id = named("before", i);
-      rig.request(id, static_cast<std::uint64_t>(i));
-      if (rig.node_of[id].empty()) continue;
+      fixture.request(id, static_cast<std::uint64_t>(i));
+      if (fixture.node_of[id].empty()) continue;
       const bool hit = i % 2 == 0;
-      rig.now += hit ? 0.5 : fill;
-      rig.director->attempt_ended(rig.now, {id}, {0}, {"c1"}, Result::kCompleted,
-                                  hit ? AnswerDetail::kHit : AnswerDetail::kFilled, 0, hit ? 0.5 : fill,
-                                  told ? LoadReport{{"x1", 0.5}} : LoadReport{}, true);
+      fixture.now += hit ? 0.5 : fill;
+      fixture.director->attempt_ended(fixture.now, {id}, {0}, {"c1"}, Result::kCompleted,
+                                      hit ? AnswerDetail::kHit : AnswerDetail::kFilled, 0, hit ? 0.5 : fill,
+                                      told ? LoadReport{{"x1", 0.5}} : LoadReport{}, true);
     }
     int filling = 0;
     for (int i = 100; i < 140; ++i) {
       const std::string id = named("p", i);
-      rig.request(id, static_cast<std::uint64_t>(i));
-      filling += !rig.node_of[id].empty() && rig.source_of[id] != rig.node_of[id][0];
-      if (!rig.node_of[id].empty()) rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.0);
+      fixture.request(id, static_cast<std::uint64_t>(i));
+      filling += !fixture.node_of[id].empty() && fixture.source_of[id] != fixture.node_of[id][0];
+      if (!fixture.node_of[id].empty()) fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.0);
     }
     return filling;
   };
@@ -800,39 +802,39 @@
   CHECK(fills(2.0, false) < 20);
   CHECK(fills(2.0, true) == 40);  // the report goes before it
   // One cache that is slow with its hits as with its fills, among quick ones, is no full link.
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 c2 P1 P2 O");
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 c2 P1 P2 O");
   int slow = 0, filling = 0;
   for (int i = 0; i < 60; ++i) {
     const std::string id = named("before", i);
-    rig.request(id, static_cast<std::uint64_t>(i));
-    if (rig.node_of[id].empty()) continue;
-    const bool hit = rig.node_of[id][0] == "c2" || ++slow <= 2;
-    rig.ends(id, 0, Result::kCompleted, hit ? AnswerDetail::kHit : AnswerDetail::kFilled,
-             rig.node_of[id][0] == "c2" ? 0.5 : 3);
+    fixture.request(id, static_cast<std::uint64_t>(i));
+    if (fixture.node_of[id].empty()) continue;
+    const bool hit = fixture.node_of[id][0] == "c2" || ++slow <= 2;
+    fixture.ends(id, 0, Result::kCompleted, hit ? AnswerDetail::kHit : AnswerDetail::kFilled,
+                 fixture.node_of[id][0] == "c2" ? 0.5 : 3);
   }
   for (int i = 100; i < 140; ++i) {
     const std::string id = named("p", i);
-    rig.request(id, static_cast<std::uint64_t>(i));
-    filling += rig.source_of[id][0] == 'P';
-    if (!rig.node_of[id].empty()) rig.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.0);
+    fixture.request(id, static_cast<std::uint64_t>(i));
+    filling += fixture.source_of[id][0] == 'P';
+    if (!fixture.node_of[id].empty()) fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.0);
   }
   CHECK(slow > 6);
   CHECK(filling == 40);
 }
 
 TEST_CASE("a node that was left out is in again once the list tells of a later start") {
-  Rig rig;
-  rig.list(ListCompleteness::kCached, "c1 P1 O");
-  rig.request("dead", 1);
-  rig.ends("dead", 0, Result::kUnreachable);
-  rig.request("refused", 2);
-  rig.say("an older start changes nothing");
-  rig.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, 99);
-  rig.request("still", 3);
-  rig.after(0.1);
-  rig.say("a later one does");
-  rig.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, rig.now);
-  rig.request("taken", 4, 0, 50);
-  check_trace("later_start", rig.taken());
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kCached, "c1 P1 O");
+  fixture.request("dead", 1);
+  fixture.ends("dead", 0, Result::kUnreachable);
+  fixture.request("refused", 2);
+  fixture.say("an older start changes nothing");
+  fixture.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, 99);
+  fixture.request("still", 3);
+  fixture.after(0.1);
+  fixture.say("a later one does");
+  fixture.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, fixture.now);
+  fixture.request("taken", 4, 0, 50);
+  check_trace("later_start", fixture.taken());
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -125,11 +125,11 @@
   }
 
   Settings settings() const {
-    Settings settings = Rig::usual_settings();
+    Settings settings = DirectorFixture::usual_settings();
     const std::string directors = std::to_string(plan_.directors);
     settings["Balancers"] = directors, settings["FamilyInfo.SeatsByZone"] = "0,0," + directors + ",0";
-    settings["Contract.ColdS"] = Rig::text(kCacheWarms);
-    settings["FamilyInfo.ParentWarmsInS"] = Rig::text(kParentWarms);
+    settings["Contract.ColdS"] = DirectorFixture::text(kCacheWarms);
+    settings["FamilyInfo.ParentWarmsInS"] = DirectorFixture::text(kParentWarms);
     settings["FamilyInfo.Tells"] = plan_.tells,
     settings["FamilyInfo.GoodForS"] = plan_.renews ? "8,0,0,0" : "0,0,0,0";
     return settings;
@@ -310,56 +310,58 @@
 }
 
 TEST_CASE("slow start: a director that restarts does not send its share again") {
-  Rig rig;
-  rig.after(1);
-  rig.list(ListCompleteness::kCached, "c1 P1 O");
-  const Seconds launched = rig.now;
-  rig.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, launched);
+  DirectorFixture fixture;
+  fixture.after(1);
+  fixture.list(ListCompleteness::kCached, "c1 P1 O");
+  const Seconds launched = fixture.now;
+  fixture.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, launched);
   int request = 0;
   const auto calls_within = [&](Seconds time) {
     int calls = 0;
-    for (const Seconds end = rig.now + time; rig.now + 0.02 < end;) {
+    for (const Seconds end = fixture.now + time; fixture.now + 0.02 < end;) {
       const std::string id = std::to_string(++request);
-      rig.request(id, static_cast<std::uint64_t>(request));
-      for (std::size_t n = 0; n < rig.node_of[id].size(); ++n) {
-        calls += rig.node_of[id][n] == "c1";
-        rig.ends(id, static_cast<int>(n), Result::kCompleted, AnswerDetail::kHit, 0.02);
+      fixture.request(id, static_cast<std::uint64_t>(request));
+      for (std::size_t n = 0; n < fixture.node_of[id].size(); ++n) {
+        calls += fixture.node_of[id][n] == "c1";
+        fixture.ends(id, static_cast<int>(n), Result::kCompleted, AnswerDetail::kHit, 0.02);
       }
-      rig.after(0.01);
+      fixture.after(0.01);
     }
     return calls;
   };
   CHECK(calls_within(1) > 0);
-  rig.director = std::make_unique<Director>(rig.now, Rig::usual_settings(), 8, rig);
-  rig.list(ListCompleteness::kFull, "c1", EndpointState::kRunning, launched);
-  rig.list(ListCompleteness::kChanges, "P1 O");
+  fixture.director = std::make_unique<Director>(fixture.now, DirectorFixture::usual_settings(), 8, fixture);
+  fixture.list(ListCompleteness::kFull, "c1", EndpointState::kRunning, launched);
+  fixture.list(ListCompleteness::kChanges, "P1 O");
   CHECK(calls_within(kSpan) == 0);
   CHECK(calls_within(1) > 0);
   // What starts later had nothing from it before.
-  rig.director = std::make_unique<Director>(rig.now, Rig::usual_settings(), 9, rig);
-  rig.list(ListCompleteness::kFull, "c1", EndpointState::kRunning, launched);
-  rig.list(ListCompleteness::kChanges, "P1 O");
-  rig.after(0.3);
-  rig.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, rig.now);
+  fixture.director = std::make_unique<Director>(fixture.now, DirectorFixture::usual_settings(), 9, fixture);
+  fixture.list(ListCompleteness::kFull, "c1", EndpointState::kRunning, launched);
+  fixture.list(ListCompleteness::kChanges, "P1 O");
+  fixture.after(0.3);
+  fixture.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, fixture.now);
   CHECK(calls_within(1) > 0);
 }
 
 TEST_CASE("slow start: a director that restarts and hears late of a start does not take it for a later one") {
   for (const bool after_the_director : {false, true}) {
     CAPTURE(after_the_director);
-    Rig rig;
-    rig.after(10);
-    const Seconds began = rig.now;
-    rig.director = std::make_unique<Director>(began, Rig::usual_settings(), 8, rig);
-    rig.list(ListCompleteness::kFull, "P1 O");
-    rig.after(0.5);
+    DirectorFixture fixture;
+    fixture.after(10);
+    const Seconds began = fixture.now;
+    fixture.director = std::make_unique<Director>(began, DirectorFixture::usual_settings(), 8, fixture);
+    fixture.list(ListCompleteness::kFull, "P1 O");
+    fixture.after(0.5);
     // The ramp counts from when the start was heard of; whether the share may be spent, by the list's stamp.
     const Seconds stamped = after_the_director ? began + 0.1 : began - 1;
-    rig.director->list_starts(rig.now, ListCompleteness::kChanges);
-    rig.director->list_entry(rig.now, {"c1"}, {2}, {0}, {1}, EndpointState::kRunning, 6, rig.now, stamped);
-    rig.director->list_ends(rig.now);
-    rig.request("1", 1);
-    CHECK(std::count(rig.node_of["1"].begin(), rig.node_of["1"].end(), "c1") == (after_the_director ? 1 : 0));
+    fixture.director->list_starts(fixture.now, ListCompleteness::kChanges);
+    fixture.director->list_entry(fixture.now, {"c1"}, {2}, {0}, {1}, EndpointState::kRunning, 6, fixture.now,
+                                 stamped);
+    fixture.director->list_ends(fixture.now);
+    fixture.request("1", 1);
+    CHECK(std::count(fixture.node_of["1"].begin(), fixture.node_of["1"].end(), "c1") ==
+          (after_the_director ? 1 : 0));
   }
 }
 
