--- a/tests/distribution/relay_actor_test.cpp
+++ b/tests/distribution/relay_actor_test.cpp
@@ -35,7 +35,7 @@
     settings.window_bytes = 4000;
   }
   ~Site() { std::fclose(sink); }
-  void until(const std::function<bool()>& holds) { REQUIRE(runs_until(scheduler, holds)); }
+  void until(const std::function<bool()>& holds) { REQUIRE(run_until(scheduler, holds)); }
   RelayActor& start_relay() {
     relays.push_back(std::make_unique<RelayActor>(scheduler, limits, counters, log, settings, 1));
     relays.back()->start();
@@ -54,7 +54,7 @@
     source.ends.back()->send("id: " + number + "\ndata: {\"seq\":" + number + "," + members + "}\n\n");
   }
   void begin_stream() {
-    until([&] { return source.came(1) && source.heard_all("\r\n\r\n"); });
+    until([&] { return source.has_connections(1) && source.has_received("\r\n\r\n"); });
     source.ends[0]->send("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
     tell(node_members("abc", true));
   }
@@ -64,7 +64,7 @@
   Counters counters;
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
-  StandIn source{scheduler};
+  StandInServer source{scheduler};
   RelaySettings settings;
   std::vector<std::unique_ptr<RelayActor>> relays;
   long long last = 0;
@@ -106,7 +106,7 @@
   Site site;
   RelayActor& first = site.start_relay();
   RelayActor& second = site.start_relay();
-  site.until([&] { return site.source.came(2) && site.source.heard_all("\r\n\r\n", 1); });
+  site.until([&] { return site.source.has_connections(2) && site.source.has_received("\r\n\r\n", 1); });
   const auto tell_both = [&](const std::string& members) {
     const std::string number = std::to_string(++site.last);
     for (const auto& end : site.source.ends)
@@ -158,7 +158,7 @@
   const auto asks = [&](const std::string& head, const std::string& answer) {
     const auto end = dial(site.scheduler, relay.address());
     end->send(head + "\r\nHost: r\r\n\r\n");
-    site.until([&] { return end->heard_all(answer); });
+    site.until([&] { return end->has_received(answer); });
     site.until([&] { return end->ended; });
   };
   asks("GET /changes HTTP/1.1", "503 No Node List Yet");
--- a/tests/distribution/subscription_test.cpp
+++ b/tests/distribution/subscription_test.cpp
@@ -38,10 +38,10 @@
     list.emplace(scheduler, limits, counters, log, std::vector<Endpoint>{{changes.address, "log"}}, 0,
                  receiver, options);
     list->start({});
-    until([&] { return changes.heard_all("\r\n\r\n"); });
+    until([&] { return changes.has_received("\r\n\r\n"); });
   }
   ~Slices() { std::fclose(sink); }
-  void until(const std::function<bool()>& holds) { REQUIRE(runs_until(scheduler, holds)); }
+  void until(const std::function<bool()>& holds) { REQUIRE(run_until(scheduler, holds)); }
   static std::string events(int from, int to) {
     std::string text;
     for (int number = from; number <= to; ++number)
@@ -56,7 +56,7 @@
   Counters counters;
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
-  StandIn changes{scheduler};
+  StandInServer changes{scheduler};
   SlowReceiver receiver;
   std::optional<Subscription> list;
 };
@@ -90,7 +90,7 @@
   CHECK(taken > 0);
   site.receiver.answer(false);
   const std::string again = "Last-Event-ID: " + std::to_string(taken) + "\r\n";
-  site.until([&] { return site.changes.came(2) && site.changes.heard_all(again, 1); });
+  site.until([&] { return site.changes.has_connections(2) && site.changes.has_received(again, 1); });
   site.receiver.seen.clear();
   site.send(1, static_cast<int>(taken) + 1, 20);
   while (site.list->last() < 20) {
@@ -103,23 +103,23 @@
 
 TEST_CASE("the change stream: a relay that refuses, ends or is silent is left for the next one") {
   Slices site(0.03);
-  StandIn second(site.scheduler), third(site.scheduler);
+  StandInServer second(site.scheduler), third(site.scheduler);
   site.list->moved({{site.changes.address, "first"}, {second.address, "second"}, {third.address, "third"}});
   site.changes.ends[0]->send("HTTP/1.1 503 Source Lost\r\nContent-Length: 0\r\n\r\n");
-  site.until([&] { return second.heard_all("Last-Event-ID: 0"); });
+  site.until([&] { return second.has_received("Last-Event-ID: 0"); });
   second.ends[0]->send("HTTP/1.1 200 OK\r\n\r\n" + Slices::events(1, 2));
   site.until([&] { return site.receiver.waiting.size() == 1; });
   site.receiver.answer(true);
-  site.until([&] { return third.heard_all("Last-Event-ID: 2\r\n"); });  // the second fell silent
+  site.until([&] { return third.has_received("Last-Event-ID: 2\r\n"); });  // the second fell silent
   CHECK(site.counters.log_silent >= 1);
   third.ends[0]->send("HTTP/1.1 200 OK\r\n\r\n");
   third.ends[0]->reset();
-  site.until([&] { return site.changes.heard_all("Last-Event-ID: 2\r\n", site.changes.ends.size() - 1); });
+  site.until([&] { return site.changes.has_received("Last-Event-ID: 2\r\n", site.changes.ends.size() - 1); });
 }
 
 TEST_CASE("the change stream: gzip is asked for, and decoded member by member as it comes") {
   Slices site(15, {.compressed = true});
-  CHECK(site.changes.heard_all("Accept-Encoding: gzip\r\n"));
+  CHECK(site.changes.has_received("Accept-Encoding: gzip\r\n"));
   const std::string members =
       protocol::gzip(Slices::events(1, 3)) + protocol::gzip(":\n\n") + protocol::gzip(Slices::events(4, 5));
   site.changes.ends[0]->send("HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\n\r\n");
@@ -134,7 +134,7 @@
   site.until([&] { return answer_all(), site.list->last() == 5; });
   CHECK(site.receiver.seen == std::vector<long long>{1, 2, 3, 4, 5});
   site.changes.ends[0]->send("this is no gzip member");
-  site.until([&] { return site.changes.came(2); });
+  site.until([&] { return site.changes.has_connections(2); });
 }
 
 TEST_CASE("the change stream: a source that began anew is followed only where that is asked for") {
@@ -146,7 +146,7 @@
     site.receiver.answer(true);
     site.until([&] { return site.list->last() == 3; });
     site.changes.ends[0]->reset();
-    site.until([&] { return site.changes.heard_all("Last-Event-ID: 3", 1); });
+    site.until([&] { return site.changes.has_received("Last-Event-ID: 3", 1); });
     site.changes.ends[1]->send("HTTP/1.1 200 OK\r\n\r\n" + list + Slices::events(2, 2));
     site.until([&] { return site.receiver.waiting.size() == 1; });
     site.receiver.answer(true);
--- a/tests/faults/fault_shim_test.cpp
+++ b/tests/faults/fault_shim_test.cpp
@@ -36,7 +36,7 @@
   control.set_clock_offset(kOffset);
   const time_t before = time(nullptr);
   rig::Process date("/bin/date", {"+%s"}, control.environment(HARERAMP_FAULTS_LIBRARY));
-  REQUIRE(runs_until(scheduler, [&] { return date.ended(); }));
+  REQUIRE(run_until(scheduler, [&] { return date.ended(); }));
   const time_t printed = std::stoll(date.printed());
   CHECK(printed >= before + kOffset);
   CHECK(printed <= time(nullptr) + kOffset + 1);  // it lags behind the clock by a tick
--- a/tests/faults/faulty_program.cpp
+++ b/tests/faults/faulty_program.cpp
@@ -96,7 +96,7 @@
     : scheduler(given),
       nodes(make_nodes(given)),
       change_log(given),
-      listen(nobody(given, own_loopback().c_str())),
+      listen(unused_address(given, own_loopback().c_str())),
       configuration_(write_configuration()),
       process(HARERAMP_BINARY, {"serve", "--config", configuration_},
               faults.environment(HARERAMP_FAULTS_LIBRARY)) {}
@@ -128,7 +128,7 @@
 }
 
 bool FaultyProgram::serves() {
-  runs_until(scheduler, [&] { return process.has_printed("serving") || process.ended(); });
+  run_until(scheduler, [&] { return process.has_printed("serving") || process.ended(); });
   if (running() && process.has_printed("serving")) return true;
   MESSAGE("the program did not start: ", process.printed());
   return false;
@@ -155,7 +155,7 @@
   Answers all;
   const double start = Scheduler::now();
   for (int i = 0; i < requests; ++i) scheduler.spawn(request(*this, request_class, start + i * spacing, all));
-  REQUIRE(runs_until(scheduler, [&] { return all.all() == requests; }));
+  REQUIRE(run_until(scheduler, [&] { return all.all() == requests; }));
   return all;
 }
 
@@ -169,7 +169,7 @@
 
 bool FaultyProgram::stops() {
   process.send(SIGTERM);
-  return runs_until(scheduler, [&] { return process.ended(); }) && process.status() == 0;
+  return run_until(scheduler, [&] { return process.ended(); }) && process.status() == 0;
 }
 
 std::uint64_t FaultyProgram::counter(const std::string& name) {
@@ -182,7 +182,7 @@
   };
   const std::size_t before = lines();
   process.send(SIGUSR1);
-  REQUIRE(runs_until(scheduler, [&] { return lines() > before; }));
+  REQUIRE(run_until(scheduler, [&] { return lines() > before; }));
   return process.counters().at(name);
 }
 
--- a/tests/faults/system_call_test.cpp
+++ b/tests/faults/system_call_test.cpp
@@ -90,7 +90,7 @@
     program.faults.clear(fault.call);
   });
   const Answers answers = program.answers(kRequests);
-  REQUIRE(runs_until(program.scheduler, [&] { return lasted > 0; }));
+  REQUIRE(run_until(program.scheduler, [&] { return lasted > 0; }));
   CHECK(program.faults.injected(fault.call) > injected_before);
   check_goes_on(program, answers, lost);
   CHECK(static_cast<double>(calls) <= kCallsAnyway + kCallsPerS * lasted);
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -21,7 +21,7 @@
   std::map<std::string, std::string> printed;
   transport::Scheduler scheduler;
   for (int waits = 0; waits < 8; ++waits)  // 20 s each: only bounds a play that never ends
-    if (runs_until(scheduler, [&] {
+    if (run_until(scheduler, [&] {
           return std::all_of(plays.begin(), plays.end(), [](auto& one) { return one.second->ended(); });
         }))
       break;
--- a/tests/flow/export_test.cpp
+++ b/tests/flow/export_test.cpp
@@ -35,8 +35,8 @@
     const std::map<std::string, std::size_t> sizes = {{"clip", 200000}, {"segment", 3000}, {"note", 50}};
     for (unsigned i = 0; i < 3; ++i)
       nodes.push_back(std::make_unique<rig::Node>(scheduler, sizes, ways, i + 1));
-    listen = nobody(scheduler, listen_at);
-    collector_at = nobody(scheduler);
+    listen = unused_address(scheduler, listen_at);
+    collector_at = unused_address(scheduler);
     rig::Site site;
     site.listen = listen.text(), site.change_log = changes.address().text();
     site.caches = {{"c1", nodes[0]->address().text()}, {"c2", nodes[1]->address().text()}};
@@ -66,7 +66,7 @@
     director = std::make_unique<rig::Process>(
         HARERAMP_BINARY, std::vector<std::string>{"serve", "--config", folder + "/config.json", "--operator",
                                                   folder + "/operator.json"});
-    REQUIRE_MESSAGE(runs_until(scheduler, [&] { return director->has_printed("serving"); }),
+    REQUIRE_MESSAGE(run_until(scheduler, [&] { return director->has_printed("serving"); }),
                     director->printed());
   }
   void collect() {
@@ -83,14 +83,14 @@
     return *clients.back();
   }
   void all_done() {
-    REQUIRE(runs_until(scheduler, [&] {
+    REQUIRE(run_until(scheduler, [&] {
       return std::all_of(clients.begin(), clients.end(), [](const auto& one) { return one->done(); });
     }));
   }
   std::map<std::string, std::uint64_t> counters() {
     const std::string before = director->printed();
     director->send(SIGUSR1);
-    REQUIRE(runs_until(scheduler, [&] {
+    REQUIRE(run_until(scheduler, [&] {
       return director->printed().size() > before.size() && director->printed().ends_with("\n");
     }));
     return director->counters();
@@ -107,13 +107,13 @@
   }
   void stop() {
     director->send(SIGTERM);
-    REQUIRE(runs_until(scheduler, [&] { return director->ended(); }));
+    REQUIRE(run_until(scheduler, [&] { return director->ended(); }));
     CHECK_MESSAGE(director->status() == 0, director->printed());
   }
   // Runs on until nothing more comes to the collector.
   void settle() {
     std::uint64_t seen = ~0ull;
-    REQUIRE(runs_until(scheduler, [&, since = Scheduler::now()]() mutable {
+    REQUIRE(run_until(scheduler, [&, since = Scheduler::now()]() mutable {
       if (collecting->decoded().messages != seen)
         seen = collecting->decoded().messages, since = Scheduler::now();
       return Scheduler::now() > since + 0.2;
@@ -252,9 +252,9 @@
   scene.operators(scene.collector());
   scene.start();
   for (int i = 0; i < 5; ++i) scene.client("127.0.0.2", "segment").start(60, 0.01);
-  REQUIRE(runs_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 15; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 15; }));
   scene.collecting->pause(true);
-  REQUIRE(runs_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 40; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 40; }));
   scene.collecting->pause(false);
   scene.all_done();
   for (int i = 0; i < 3; ++i) scene.client("127.0.0.3", "segment").start(20, 0.01);
@@ -271,22 +271,22 @@
   const std::vector<std::string> words = {
       "collect", "--archive", scene.folder + "/archive", "--tcp", scene.collector_at.text(), "--udp", "off"};
   auto collector = std::make_unique<rig::Process>(HARERAMP_FLOWS, words);
-  REQUIRE(runs_until(scene.scheduler, [&] { return collector->has_printed("collecting"); }));
+  REQUIRE(run_until(scene.scheduler, [&] { return collector->has_printed("collecting"); }));
   scene.start();
   for (int i = 0; i < 5; ++i) scene.client("127.0.0.2", "segment").start(80, 0.01);
   for (const std::uint64_t asked : {20u, 45u}) {
-    REQUIRE(runs_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > asked; }));
+    REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > asked; }));
     // What it had committed comes again after its end and must not count twice: so there has to be some.
-    REQUIRE(runs_until(scene.scheduler, [&] { return scene.records_kept() > 0; }));
+    REQUIRE(run_until(scene.scheduler, [&] { return scene.records_kept() > 0; }));
     collector->send(SIGKILL);
-    REQUIRE(runs_until(scene.scheduler, [&] { return collector->ended(); }));
+    REQUIRE(run_until(scene.scheduler, [&] { return collector->ended(); }));
     collector = std::make_unique<rig::Process>(HARERAMP_FLOWS, words);
-    REQUIRE(runs_until(scene.scheduler, [&] { return collector->has_printed("collecting"); }));
+    REQUIRE(run_until(scene.scheduler, [&] { return collector->has_printed("collecting"); }));
   }
   scene.all_done();
   scene.stop();
   collector->send(SIGTERM);
-  REQUIRE(runs_until(scene.scheduler, [&] { return collector->ended(); }));
+  REQUIRE(run_until(scene.scheduler, [&] { return collector->ended(); }));
   CHECK(collector->status() == 0);
   CHECK_FALSE(collector->has_printed("duplicates=0 "));
   check_octets(scene);
@@ -304,12 +304,12 @@
   scene.counters_until(
       [](auto& now) { return now["flows"] == 0 && now["spool_written"] == now["flow_messages"]; });
   scene.director->send(SIGKILL);
-  REQUIRE(runs_until(scene.scheduler, [&] { return scene.director->ended(); }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.director->ended(); }));
   scene.start();
   for (int i = 0; i < 2; ++i) scene.client("127.0.0.3", "segment").start(10, 0.01);
   scene.all_done();
   scene.collect();
-  REQUIRE(runs_until(scene.scheduler, [&] { return scene.collecting->decoded().records > 50; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.collecting->decoded().records > 50; }));
   scene.stop();
   scene.settle();
   check_octets(scene);
@@ -327,7 +327,7 @@
   Scene scene({}, "[::1]:0");
   scene.collect();
   scene.operators(fmt::format(R"({{"address":"{}","transport":"tcp","mode":"failover"}},{})",
-                              nobody(scene.scheduler).text(),
+                              unused_address(scene.scheduler).text(),
                               scene.collector("tcp", R"(,"mode":"failover")")));
   scene.start();
   for (int i = 0; i < 3; ++i) scene.client("[::1]", "segment").start(20, 0.01);
@@ -349,7 +349,7 @@
       "/bin/sh",
       std::vector<std::string>{"-c", "ulimit -f 192; exec \"$@\"", "sh", HARERAMP_BINARY, "serve", "--config",
                                scene.folder + "/config.json", "--operator", scene.folder + "/operator.json"});
-  REQUIRE(runs_until(scene.scheduler, [&] { return scene.director->has_printed("serving"); }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.director->has_printed("serving"); }));
   scene.collecting->pause(true);  // what is on the disk has to stay there
   for (int i = 0; i < 8; ++i) scene.client(i % 2 ? "127.0.0.2" : "127.0.0.3", "segment").start(100, 0.01);
   scene.all_done();
@@ -367,7 +367,7 @@
 
 TEST_CASE("a collector that never reads costs records, told truthfully, and never a request") {
   Scene scene;
-  StandIn deaf(scene.scheduler, false);
+  StandInServer deaf(scene.scheduler, false);
   scene.collect();
   scene.operators(
       fmt::format(R"({{"address":"{}","transport":"tcp"}},{})", deaf.address.text(), scene.collector("tcp")),
@@ -403,7 +403,7 @@
   scene.operators(scene.collector("udp"));
   scene.start();
   for (int i = 0; i < 4; ++i) scene.client("127.0.0.2", "segment").start(40, 0.005);
-  REQUIRE(runs_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 10; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 10; }));
   scene.operators(scene.collector("tcp"));
   scene.director->send(SIGHUP);
   scene.counters_until([](auto& now) { return now["reloads"] == 1; });
--- a/tests/flow/exporter_disk_test.cpp
+++ b/tests/flow/exporter_disk_test.cpp
@@ -68,7 +68,7 @@
     settings.networks = std::make_shared<const Networks>();
     exporter.emplace(scheduler, bounds, counters, log, settings, 1);
     exporter->start();
-    server = std::make_unique<StandIn>(scheduler);
+    server = std::make_unique<StandInServer>(scheduler);
   }
   ~Run() {
     scheduler.clear();
@@ -94,10 +94,10 @@
       done = true;
     };
     scheduler.spawn(go(*this, socket, up));
-    REQUIRE(runs_until(scheduler, [&] { return up; }));
+    REQUIRE(run_until(scheduler, [&] { return up; }));
     return socket;
   }
-  bool until(const std::function<bool()>& holds) { return runs_until(scheduler, holds); }
+  bool until(const std::function<bool()>& holds) { return run_until(scheduler, holds); }
   bool all_on_disk() const {
     return counters.flow_messages > 0 && counters.spool_written >= counters.flow_messages;
   }
@@ -117,12 +117,12 @@
   Counters counters;
   Log log;
   std::optional<flow::Exporter> exporter;
-  std::unique_ptr<StandIn> server;
+  std::unique_ptr<StandInServer> server;
 };
 
 transport::Address somewhere() {
   Scheduler scheduler;
-  return nobody(scheduler);
+  return unused_address(scheduler);
 }
 
 // What a collector gets from a run until the run has no more to send; each record is counted once.
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -163,7 +163,7 @@
 };
 
 // Runs the loop until something holds; false if it never does. The time only bounds a test that fails.
-inline bool runs_until(transport::Scheduler& scheduler, const std::function<bool()>& holds) {
+inline bool run_until(transport::Scheduler& scheduler, const std::function<bool()>& holds) {
   using transport::Scheduler;
   bool held = false;
   const auto watch = [](Scheduler& s, const std::function<bool()>& wanted, bool& seen) -> transport::Task<> {
@@ -187,7 +187,7 @@
   void reset() { socket_.abort(); }
   void finish() { socket_.finish(); }
   void close() { socket_.close(); }
-  bool heard_all(const std::string& words) const { return heard.find(words) != std::string::npos; }
+  bool has_received(const std::string& words) const { return heard.find(words) != std::string::npos; }
 
   std::string heard;
   bool ended = false, up = true;
@@ -206,17 +206,17 @@
 };
 
 // A server that does only what the test says: a node, the change log, or one that never reads.
-class StandIn {
+class StandInServer {
  public:
-  explicit StandIn(transport::Scheduler& scheduler, bool reads = true)
+  explicit StandInServer(transport::Scheduler& scheduler, bool reads = true)
       : scheduler_(scheduler),
         reads_(reads),
         listener_(scheduler, *transport::Address::parse("127.0.0.1:0"), 64) {
     address = listener_.address();
     scheduler.spawn(take(*this));
   }
-  ~StandIn() { listener_.close(); }
-  bool came(std::size_t connections) const { return ends.size() >= connections; }
+  ~StandInServer() { listener_.close(); }
+  bool has_connections(std::size_t connections) const { return ends.size() >= connections; }
   // What it heard on one connection, with the figures that differ from run to run left out.
   std::string heard(std::size_t place = 0) const {
     if (place >= ends.size()) return "nothing\n";
@@ -226,15 +226,15 @@
       if (c != '\r') text += c;
     return text;
   }
-  bool heard_all(const std::string& words, std::size_t place = 0) const {
-    return place < ends.size() && ends[place]->heard_all(words);
+  bool has_received(const std::string& words, std::size_t place = 0) const {
+    return place < ends.size() && ends[place]->has_received(words);
   }
 
   transport::Address address;
   std::vector<std::shared_ptr<End>> ends;
 
  private:
-  static transport::Task<> take(StandIn& self) {
+  static transport::Task<> take(StandInServer& self) {
     for (;;) {
       auto accepted = co_await self.listener_.accept();
       if (accepted.end != transport::Listener::End::kTaken) co_return;
@@ -257,12 +257,12 @@
     if (read) made->listen();
   };
   scheduler.spawn(go(scheduler, to, reads, end));
-  REQUIRE(runs_until(scheduler, [&] { return end != nullptr; }));
+  REQUIRE(run_until(scheduler, [&] { return end != nullptr; }));
   return end;
 }
 
 // An address at which nobody listens.
-inline transport::Address nobody(transport::Scheduler& scheduler, const char* at = "127.0.0.1:0") {
+inline transport::Address unused_address(transport::Scheduler& scheduler, const char* at = "127.0.0.1:0") {
   return transport::Listener(scheduler, *transport::Address::parse(at), 1).address();
 }
 
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -126,7 +126,7 @@
   Scheduler scheduler;
   rig::QuietChangeLog changes(scheduler);
   rig::Node cache(scheduler, {{"segment", 3000}}, {}, 1), origin(scheduler, {{"segment", 3000}}, {}, 2);
-  const transport::Address listen = nobody(scheduler);
+  const transport::Address listen = unused_address(scheduler);
   rig::Site site;
   site.listen = listen.text(), site.change_log = changes.address().text();
   site.caches = {{"c1", cache.address().text()}}, site.origin = origin.address().text();
@@ -135,11 +135,11 @@
   std::ofstream(config) << rig::configuration(site);
   {
     rig::Process director("/bin/sh", {"-c", run}, {{"EDGE_CONFIG", config}});
-    REQUIRE_MESSAGE(runs_until(scheduler, [&] { return director.has_printed("serving"); }),
+    REQUIRE_MESSAGE(run_until(scheduler, [&] { return director.has_printed("serving"); }),
                     director.printed());
     rig::Client client(scheduler, listen, *transport::Address::parse("127.0.0.1:0"), "segment", false, {}, 1);
     client.start(20, 0);
-    REQUIRE(runs_until(scheduler, [&] { return client.done(); }));
+    REQUIRE(run_until(scheduler, [&] { return client.done(); }));
     CHECK(client.tally().completed == 20);
 
     const files::path proc = "/proc/" + std::to_string(director.id());
@@ -156,10 +156,10 @@
     // A thread that spins would use all of this second, or what of it a busy machine gives.
     const long before = used(proc);
     const Seconds start = Scheduler::now();
-    REQUIRE(runs_until(scheduler, [&] { return Scheduler::now() > start + 1; }));
+    REQUIRE(run_until(scheduler, [&] { return Scheduler::now() > start + 1; }));
     CHECK(used(proc) - before < 10);
     director.send(SIGTERM);
-    REQUIRE(runs_until(scheduler, [&] { return director.ended(); }));
+    REQUIRE(run_until(scheduler, [&] { return director.ended(); }));
     CHECK(director.status() == 0);
   }
   scheduler.clear();
--- a/tests/program/program_test.cpp
+++ b/tests/program/program_test.cpp
@@ -31,7 +31,7 @@
                 const std::map<std::string, std::string>& variables = {}) {
   Scheduler scheduler;
   Process process(words, variables);
-  REQUIRE(runs_until(scheduler, [&] { return process.ended(); }));
+  REQUIRE(run_until(scheduler, [&] { return process.ended(); }));
   return process.printed() + "-> " + std::to_string(process.status()) + "\n";
 }
 
@@ -93,7 +93,7 @@
   CHECK(run({"version"}).starts_with("hareramp "));
 
   Scheduler scheduler;
-  StandIn other(scheduler);
+  StandInServer other(scheduler);
   const std::string taken =
       run({"serve"}, {{"EDGE_CONFIG", good.path}, {"EDGE_LISTEN", other.address.text()}});
   CHECK(taken ==
@@ -102,25 +102,25 @@
 
 TEST_CASE("it serves, prints its counters, and leaves by SIGTERM with everything answered") {
   Scheduler scheduler;
-  StandIn origin(scheduler), changes(scheduler);
-  const transport::Address listen = nobody(scheduler);
+  StandInServer origin(scheduler), changes(scheduler);
+  const transport::Address listen = unused_address(scheduler);
   const File config(configuration(listen.text(), changes.address.text(), origin.address.text()));
   Process process({"serve", "--config", config.path}, {});
-  REQUIRE(runs_until(scheduler, [&] { return process.printed().find("serving") != std::string::npos; }));
+  REQUIRE(run_until(scheduler, [&] { return process.printed().find("serving") != std::string::npos; }));
   const auto one = dial(scheduler, listen);
   one->send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n" + put("0000000000000001"));
-  REQUIRE(runs_until(scheduler, [&] { return origin.heard_all("serve 0000000000000001"); }));
-  CHECK(changes.heard_all("Last-Event-ID: 3"));
+  REQUIRE(run_until(scheduler, [&] { return origin.has_received("serve 0000000000000001"); }));
+  CHECK(changes.has_received("Last-Event-ID: 3"));
   process.send(SIGUSR1);
   REQUIRE(
-      runs_until(scheduler, [&] { return process.printed().find("counters taken=1") != std::string::npos; }));
+      run_until(scheduler, [&] { return process.printed().find("counters taken=1") != std::string::npos; }));
 
   process.send(SIGTERM);
-  REQUIRE(runs_until(scheduler,
-                     [&] { return process.printed().find("leaving, 1 requests") != std::string::npos; }));
+  REQUIRE(run_until(scheduler,
+                    [&] { return process.printed().find("leaving, 1 requests") != std::string::npos; }));
   const auto two = dial(scheduler, listen);  // in the window after SIGTERM
   two->send(put("0000000000000002"));
-  REQUIRE(runs_until(scheduler, [&] { return origin.heard_all("serve 0000000000000002", 1); }));
+  REQUIRE(run_until(scheduler, [&] { return origin.has_received("serve 0000000000000002", 1); }));
   // Past the window nobody is taken any more.
   for (int tries = 0; tries < 2000 && dial(scheduler, listen, false)->up; ++tries)
     scheduler.at(Scheduler::now() + 0.01, [&] { scheduler.stop(); }), scheduler.run();
@@ -128,7 +128,7 @@
   CHECK_FALSE(process.ended());
   origin.ends[1]->send("0000000000000002 ACK - 3\r\ntwo\r\n");
   origin.ends[0]->send("0000000000000001 ACK - 3\r\none\r\n");
-  REQUIRE(runs_until(scheduler, [&] { return process.ended(); }));
+  REQUIRE(run_until(scheduler, [&] { return process.ended(); }));
   CHECK(process.status() == 0);
   CHECK(one->heard.ends_with("one"));
   CHECK(two->heard.ends_with("two"));
@@ -138,19 +138,19 @@
 
 TEST_CASE("SIGHUP: another change log is followed, a bad file changes nothing, requests go on") {
   Scheduler scheduler;
-  StandIn origin(scheduler), changes(scheduler), other(scheduler);
-  const transport::Address listen = nobody(scheduler);
+  StandInServer origin(scheduler), changes(scheduler), other(scheduler);
+  const transport::Address listen = unused_address(scheduler);
   const std::string before = configuration(listen.text(), changes.address.text(), origin.address.text());
   const File config(before);
   Process process({"serve", "--config", config.path}, {});
   const auto prints = [&](const std::string& words) {
-    CHECK_MESSAGE(runs_until(scheduler, [&] { return process.printed().find(words) != std::string::npos; }),
+    CHECK_MESSAGE(run_until(scheduler, [&] { return process.printed().find(words) != std::string::npos; }),
                   words);
   };
   prints("serving");
   const auto client = dial(scheduler, listen);
   client->send(put("0000000000000001"));
-  REQUIRE(runs_until(scheduler, [&] { return origin.heard_all("serve 0000000000000001"); }));
+  REQUIRE(run_until(scheduler, [&] { return origin.has_received("serve 0000000000000001"); }));
   std::ofstream(config.path) << before.substr(0, before.size() / 2);
   process.send(SIGHUP);
   prints("the configuration stays as it is");
@@ -158,39 +158,39 @@
   after.replace(after.find("\"memory_mb\":192"), 15, "\"memory_mb\":64");
   std::ofstream(config.path) << after;
   process.send(SIGHUP);
-  REQUIRE(runs_until(scheduler, [&] { return other.heard_all("Last-Event-ID: 3"); }));
+  REQUIRE(run_until(scheduler, [&] { return other.has_received("Last-Event-ID: 3"); }));
   prints("changed only by a restart: limits");
   origin.ends[0]->send("0000000000000001 ACK - 3\r\none\r\n");
-  REQUIRE(runs_until(scheduler, [&] { return client->heard.ends_with("one"); }));
+  REQUIRE(run_until(scheduler, [&] { return client->heard.ends_with("one"); }));
   process.send(SIGUSR1);
   prints("reloads=1 reloads_failed=1");
   process.send(SIGTERM);
-  REQUIRE(runs_until(scheduler, [&] { return process.ended(); }));
+  REQUIRE(run_until(scheduler, [&] { return process.ended(); }));
   CHECK(process.status() == 0);
 }
 
 TEST_CASE(
     "with no descriptor left it goes on: idle clients make room, requests that can't go out are bounced") {
   Scheduler scheduler;
-  StandIn origin(scheduler), changes(scheduler);
-  const transport::Address listen = nobody(scheduler);
+  StandInServer origin(scheduler), changes(scheduler);
+  const transport::Address listen = unused_address(scheduler);
   const File config(configuration(listen.text(), changes.address.text(), origin.address.text()));
   Process process({"serve", "--config", config.path}, {}, 20);
-  REQUIRE(runs_until(scheduler, [&] { return process.printed().find("serving") != std::string::npos; }));
+  REQUIRE(run_until(scheduler, [&] { return process.printed().find("serving") != std::string::npos; }));
   std::vector<std::shared_ptr<End>> clients;
   for (int i = 0; i < 40; ++i) clients.push_back(dial(scheduler, listen));
   // Whoever came last is served, and whoever is busy stays.
   clients.back()->send(put("0000000000000001"));
-  REQUIRE(runs_until(scheduler,
-                     [&] { return clients.back()->heard_all("\r\n\r\n") || origin.heard_all("serve"); }));
-  if (origin.heard_all("serve")) origin.ends[0]->send("0000000000000001 ACK - 0\r\n\r\n");
-  REQUIRE(runs_until(scheduler, [&] { return clients.back()->heard_all("\r\n\r\n"); }));
+  REQUIRE(run_until(
+      scheduler, [&] { return clients.back()->has_received("\r\n\r\n") || origin.has_received("serve"); }));
+  if (origin.has_received("serve")) origin.ends[0]->send("0000000000000001 ACK - 0\r\n\r\n");
+  REQUIRE(run_until(scheduler, [&] { return clients.back()->has_received("\r\n\r\n"); }));
   for (const auto& client : clients) client->close();
   const auto later = dial(scheduler, listen);
   later->send(put("0000000000000002"));
-  REQUIRE(runs_until(scheduler, [&] { return origin.heard_all("serve 0000000000000002"); }));
+  REQUIRE(run_until(scheduler, [&] { return origin.has_received("serve 0000000000000002"); }));
   origin.ends.back()->send("0000000000000002 ACK - 2\r\nok\r\n");
-  REQUIRE(runs_until(scheduler, [&] { return later->heard.ends_with("ok"); }));
+  REQUIRE(run_until(scheduler, [&] { return later->heard.ends_with("ok"); }));
   CHECK_FALSE(process.ended());
 }
 
--- a/tests/program/shutdown_test.cpp
+++ b/tests/program/shutdown_test.cpp
@@ -29,12 +29,12 @@
 class Site {
  public:
   explicit Site(double deadline)
-      : listen(nobody(scheduler)),
+      : listen(unused_address(scheduler)),
         config(text(deadline)),
         process(HARERAMP_BINARY, {"serve", "--config", config.path}) {
     CHECK(until([&] { return process.has_printed("serving"); }));
   }
-  bool until(const std::function<bool()>& holds) { return runs_until(scheduler, holds); }
+  bool until(const std::function<bool()>& holds) { return run_until(scheduler, holds); }
   void pass(Seconds time) {
     const Seconds then = Scheduler::now() + time;
     until([&] { return Scheduler::now() >= then; });
@@ -60,20 +60,20 @@
   }
   // An attempt of the request has reached a node.
   bool is_out(int number) const {
-    for (const StandIn* node : {&cache, &origin})
+    for (const StandInServer* node : {&cache, &origin})
       for (const auto& end : node->ends)
-        if (end->heard_all("serve " + id(number))) return true;
+        if (end->has_received("serve " + id(number))) return true;
     return false;
   }
 
   Scheduler scheduler;
-  StandIn cache{scheduler}, origin{scheduler}, changes{scheduler};
+  StandInServer cache{scheduler}, origin{scheduler}, changes{scheduler};
   const transport::Address listen;
   const File config;
   rig::Process process;
 
  private:
-  static std::string entry(const std::string& id, const StandIn& node, const std::string& kind) {
+  static std::string entry(const std::string& id, const StandInServer& node, const std::string& kind) {
     return R"({"id":")" + id + R"(","addr":")" + node.address.text() + R"(","zone":"hub","kind":")" + kind +
            R"(","cell":1,"state":"active","weight":60,"started_ms":0})";
   }
@@ -111,7 +111,7 @@
   const int socket_ = socket(AF_INET, SOCK_STREAM, 0);
 };
 
-bool is_answered(const End& client) { return client.heard_all("\r\n\r\n"); }
+bool is_answered(const End& client) { return client.has_received("\r\n\r\n"); }
 
 }  // namespace
 
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -201,19 +201,19 @@
                                                         entry("P1", parent.address, "z0", "parent") + "," +
                                                         entry("O", origin.address, "z1", "origin") + "]}}"));
   }
-  void until(const std::function<bool()>& holds) { CHECK(runs_until(scheduler, holds)); }
+  void until(const std::function<bool()>& holds) { CHECK(run_until(scheduler, holds)); }
   // How many attempts the nodes have heard for requests whose id begins so.
   std::size_t attempts_heard(const std::string& id = "") const {
     std::size_t count = 0;
     const std::string mark = "serve " + id;
-    for (const StandIn* node : {&cache, &parent, &origin})
+    for (const StandInServer* node : {&cache, &parent, &origin})
       for (const auto& end : node->ends)
         for (auto at = end->heard.find(mark); at != std::string::npos; at = end->heard.find(mark, at + 1))
           ++count;
     return count;
   }
   void until_attempts(const std::string& id, std::size_t count) {
-    CHECK_MESSAGE(runs_until(scheduler, [&] { return attempts_heard(id) >= count; }), id);
+    CHECK_MESSAGE(run_until(scheduler, [&] { return attempts_heard(id) >= count; }), id);
   }
   // Ends the connection of the only client so far; its attempts until now are those that may be heard of.
   void end(PlainClient& client, ClientEnd how) {
@@ -234,9 +234,9 @@
   }
   // Each node that holds an attempt at the request answers it so.
   void nodes_answer(const std::string& id, const std::string& answer) {
-    for (StandIn* node : {&cache, &parent, &origin})
+    for (StandInServer* node : {&cache, &parent, &origin})
       for (const auto& end : node->ends)
-        if (end->heard_all("serve " + id)) end->try_send(id + " " + answer + "\r\n");
+        if (end->has_received("serve " + id)) end->try_send(id + " " + answer + "\r\n");
   }
 
   Scheduler scheduler;
@@ -246,7 +246,7 @@
   int failures = 0;
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
-  StandIn cache{scheduler}, parent{scheduler}, origin{scheduler};
+  StandInServer cache{scheduler}, parent{scheduler}, origin{scheduler};
   std::optional<DirectorActor> module;
   std::optional<ClientListener> front;
 };
--- a/tests/routing/ends.hpp
+++ b/tests/routing/ends.hpp
@@ -35,10 +35,10 @@
     contents += content.bytes;
   }
   Seconds max_copy_age(const RequestId&) override { return 0; }
-  bool until(const std::function<bool()>& holds) { return runs_until(scheduler, holds); }
+  bool until(const std::function<bool()>& holds) { return run_until(scheduler, holds); }
 
   transport::Scheduler scheduler;
-  StandIn node{scheduler};
+  StandInServer node{scheduler};
   Limits limits;
   Counters counters;
   std::size_t links = 0;
--- a/tests/routing/io_failures_test.cpp
+++ b/tests/routing/io_failures_test.cpp
@@ -59,7 +59,8 @@
   Cut(std::size_t bytes, int error) {
     injected = {.port = desk.node.address.port(), .writes = bytes};
     desk.attempt("p1", "body");
-    CHECK(desk.until([&] { return desk.node.came(1) && desk.node.ends[0]->heard.size() >= bytes; }));
+    CHECK(
+        desk.until([&] { return desk.node.has_connections(1) && desk.node.ends[0]->heard.size() >= bytes; }));
     injected.read_error = error;
     desk.node.ends[0]->send("p");
     CHECK(desk.until([&] { return injected.port == 0; }));
@@ -109,12 +110,12 @@
       CAPTURE(bytes);
       Cut cut(bytes, error);
       if (bytes < whole) {  // it goes on, whole, on another connection
-        CHECK(cut.desk.until([&] { return cut.desk.node.heard_all("\r\nbody\r\n", 1); }));
+        CHECK(cut.desk.until([&] { return cut.desk.node.has_received("\r\nbody\r\n", 1); }));
         CHECK(cut.desk.results.empty());
       } else {
         CHECK(cut.desk.until([&] { return !cut.desk.results.empty(); }));
         CHECK(cut.desk.results == std::vector{Result::kBroken});
-        CHECK(cut.desk.node.heard_all("\r\nbody\r\n"));
+        CHECK(cut.desk.node.has_received("\r\nbody\r\n"));
       }
     }
   }
@@ -131,7 +132,8 @@
         .port = desk.node.address.port(), .writes = kAnyNumber, .at_once = at_once, .interrupts = true};
     desk.attempt("p1", "body");
     desk.attempt("p2");
-    CHECK(desk.until([&] { return desk.node.heard_all("serve p2") && desk.node.heard_all(" 0\r\n\r\n"); }));
+    CHECK(desk.until(
+        [&] { return desk.node.has_received("serve p2") && desk.node.has_received(" 0\r\n\r\n"); }));
     CHECK(desk.node.heard() ==
           "serve p1 lane=segment,name=p1,ttl=N 4\nbody\nserve p2 lane=segment,name=p2,ttl=N 0\n\n");
     desk.node.ends[0]->send("p2 ACK sum=t 2\r\nok\r\np1 NOENT why=absent 0\r\n\r\n");
@@ -147,7 +149,7 @@
   Ends desk;
   injected = {.port = desk.node.address.port(), .writes = kAnyNumber, .failing_writes = 3};
   desk.attempt("p1", "body");
-  CHECK(desk.until([&] { return desk.node.heard_all("\r\nbody\r\n") || !desk.results.empty(); }));
+  CHECK(desk.until([&] { return desk.node.has_received("\r\nbody\r\n") || !desk.results.empty(); }));
   REQUIRE(desk.results.empty());
   CHECK(injected.failing_writes == 0);
   desk.node.ends[0]->send("p1 ACK - 0\r\n\r\n");
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -76,7 +76,7 @@
     CHECK(desk.until([&] { return desk.results.size() == 1; }));
     CHECK(desk.links == 0);
     desk.attempt("p1");
-    CHECK(desk.until([&] { return desk.node.heard_all("serve p1"); }));
+    CHECK(desk.until([&] { return desk.node.has_received("serve p1"); }));
     desk.node.ends.at(0)->send("p1 ACK - 0\r\n\r\n");
     CHECK(desk.until([&] { return desk.results.size() == 2; }));
     CHECK(desk.results == std::vector{Result::kLocalFailure, Result::kCompleted});
@@ -87,10 +87,10 @@
   const FailuresEnd failures_end;
   Ends desk;
   desk.attempt("p1");
-  CHECK(desk.until([&] { return desk.node.heard_all("serve p1"); }));
+  CHECK(desk.until([&] { return desk.node.has_received("serve p1"); }));
   connect_failure = {EADDRNOTAVAIL, 1};
   desk.attempt("p2");
-  CHECK(desk.until([&] { return desk.node.heard_all("serve p2") || !desk.results.empty(); }));
+  CHECK(desk.until([&] { return desk.node.has_received("serve p2") || !desk.results.empty(); }));
   CHECK(connect_failure.calls == 0);
   CHECK(desk.links == 1);
   REQUIRE(desk.results.empty());
@@ -123,7 +123,7 @@
 TEST_CASE("a moment without local ports costs no request its answer") {
   const FailuresEnd failures_end;
   Scheduler scheduler;
-  StandIn cache(scheduler), parent(scheduler), origin(scheduler);
+  StandInServer cache(scheduler), parent(scheduler), origin(scheduler);
   const auto nothing = *protocol::Json::parse("{}");
   Limits limits = program::fill_limits(nothing, nothing);
   limits.suspect_timeout = limits.answer_stall_timeout = limits.connect_timeout = limits.send_start_timeout =
@@ -135,7 +135,7 @@
       {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
   DirectorActor module(scheduler, limits, counters, log, names, Rig::usual_settings(), 7);
   module.start();
-  const auto entry = [](const char* id, const StandIn& node, const char* zone, const char* kind) {
+  const auto entry = [](const char* id, const StandInServer& node, const char* zone, const char* kind) {
     return R"({"id":")" + std::string(id) + R"(","addr":")" + node.address.text() + R"(","zone":")" + zone +
            R"(","kind":")" + kind + R"(","cell":1,"state":"active","weight":6,"started_ms":0})";
   };
@@ -144,7 +144,7 @@
       entry("P1", parent, "z0", "parent") + "," + entry("O", origin, "z1", "origin") + "]}}");
   bool listed = false;
   module.changes_arrived({{0, list}}, false, [&](bool taken) { listed = taken; });
-  REQUIRE(runs_until(scheduler, [&] { return listed; }));
+  REQUIRE(run_until(scheduler, [&] { return listed; }));
 
   // As many failures as the requests have attempts, all together.
   const auto client = std::make_shared<Client>();
@@ -159,13 +159,13 @@
   const auto answer_all = [&] {
     for (const auto& end : cache.ends) {
       for (const std::string request : {"read", "write"}) {
-        if (!end->heard_all("serve " + request + " ") || !answered.insert(request).second) continue;
+        if (!end->has_received("serve " + request + " ") || !answered.insert(request).second) continue;
         end->send(request + " ACK why=mem 2\r\nok\r\n");
       }
     }
     return client->served + client->rejections + client->failures == 2;
   };
-  CHECK(runs_until(scheduler, answer_all));
+  CHECK(run_until(scheduler, answer_all));
   CHECK(client->served == 2);
   CHECK(connect_failure.calls == 0);
   std::fclose(sink);
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -65,13 +65,14 @@
            "\r\nX-Deadline-Ms: 15000\r\n" + rest;
   }
   std::shared_ptr<End> client(bool reads = true) { return dial(scheduler, front->address(), reads); }
-  void until(const std::function<bool()>& holds) { CHECK(runs_until(scheduler, holds)); }
-  void hears(StandIn& node, const std::string& words) {
-    CHECK_MESSAGE(runs_until(scheduler, [&] { return node.heard_all(words); }),
+  void until(const std::function<bool()>& holds) { CHECK(run_until(scheduler, holds)); }
+  void hears(StandInServer& node, const std::string& words) {
+    CHECK_MESSAGE(run_until(scheduler, [&] { return node.has_received(words); }),
                   words << " in " << node.heard());
   }
   void hears(End& end, const std::string& words) {
-    CHECK_MESSAGE(runs_until(scheduler, [&] { return end.heard_all(words); }), words << " in " << end.heard);
+    CHECK_MESSAGE(run_until(scheduler, [&] { return end.has_received(words); }),
+                  words << " in " << end.heard);
   }
   // The sums agree at any moment.
   void check_sums() const {
@@ -89,7 +90,7 @@
   Counters counters;
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
-  StandIn cache{scheduler}, parent{scheduler}, origin{scheduler};
+  StandInServer cache{scheduler}, parent{scheduler}, origin{scheduler};
   std::optional<DirectorActor> module;
   std::optional<ClientListener> front;
   ~Site() { std::fclose(sink); }
@@ -127,23 +128,23 @@
   trace += "-- a binding request that may have run: no promise\n" + Site::text(other->heard);
   const auto third = site.client();
   third->send(Site::get("00000000000000bb", "/invoke/video/7f/block-3"));
-  for (int number = 0; number < 6 && !third->heard_all("503"); ++number) {
+  for (int number = 0; number < 6 && !third->has_received("503"); ++number) {
     const std::string mark = "serve 00000000000000bb";
     const auto count = [&] {
       std::size_t found = 0;
-      for (const StandIn* node : {&site.cache, &site.parent, &site.origin})
+      for (const StandInServer* node : {&site.cache, &site.parent, &site.origin})
         for (const auto& end : node->ends)
           for (auto at = end->heard.find(mark); at != std::string::npos; at = end->heard.find(mark, at + 1))
             ++found;
       return static_cast<int>(found);
     };
-    site.until([&] { return count() > number || third->heard_all("503"); });
-    for (StandIn* node : {&site.cache, &site.parent, &site.origin})
+    site.until([&] { return count() > number || third->has_received("503"); });
+    for (StandInServer* node : {&site.cache, &site.parent, &site.origin})
       for (const auto& end : node->ends)
-        if (end->heard_all(mark) && !end->ended) end->send("00000000000000bb AGAIN why=crowded 0\r\n\r\n");
+        if (end->has_received(mark) && !end->ended) end->send("00000000000000bb AGAIN why=crowded 0\r\n\r\n");
   }
   site.hears(*third, "503");
-  CHECK(third->heard_all("X-Pushback-Ms: "));
+  CHECK(third->has_received("X-Pushback-Ms: "));
   site.check_sums();
   CHECK(site.counters.completed == 3);
   CHECK(site.counters.not_modified == 1);
@@ -162,7 +163,7 @@
     site.scheduler.run();
   }
   site.hears(site.cache, "serve " + kId1);
-  CHECK_FALSE(site.cache.heard_all("serve " + kId2));  // one at a time, in order
+  CHECK_FALSE(site.cache.has_received("serve " + kId2));  // one at a time, in order
   site.cache.ends[0]->send(kId1 + " ACK - 3\r\none\r\n");
   site.hears(site.cache, "serve " + kId2);
   site.cache.ends[0]->send(kId2 + " ACK - 3\r\ntwo\r\n");
@@ -211,7 +212,7 @@
     const auto client = site.client();
     client->send(text);
     if (text.ends_with("cut")) client->finish();
-    site.until([&] { return client->ended || client->heard_all("\r\n\r\n"); });
+    site.until([&] { return client->ended || client->has_received("\r\n\r\n"); });
     trace += text.substr(0, text.find(" HTTP/1.1\r\n")).substr(0, 40) + " -> " +
              client->heard.substr(0, client->heard.find('\r')) + "\n";
   }
@@ -304,7 +305,7 @@
   half->send("GET /invoke/vi");
   site.until([&] { return silent->ended && half->ended; });
   CHECK(silent->heard.empty());
-  CHECK(half->heard_all("HTTP/1.1 408"));
+  CHECK(half->has_received("HTTP/1.1 408"));
   CHECK_FALSE(good->ended);
 }
 
@@ -328,8 +329,8 @@
   std::string request = Site::get(kId1);
   request.replace(request.find("15000"), 5, "200");
   client->send(request);
-  site.until([&] { return client->heard_all("\r\n\r\n"); });
-  CHECK(client->heard_all("HTTP/1.1 500"));
+  site.until([&] { return client->has_received("\r\n\r\n"); });
+  CHECK(client->has_received("HTTP/1.1 500"));
   CHECK(site.counters.overdue == 0);
   site.hears(site.cache, "cancel " + kId1);
   client->send(Site::get(kId1, "/invoke/video/82/block-0"));
@@ -352,7 +353,7 @@
 
 TEST_CASE("drains and purges reach the module before later requests do") {
   Site site;
-  StandIn spare(site.scheduler);
+  StandInServer spare(site.scheduler);
   site.tell("\"full\":false", {Site::entry("c2", spare.address, "z2", "cache"),
                                Site::entry("c1", site.cache.address, "z2", "cache", "leaving")});
   const std::string purged = std::to_string(static_cast<long long>(transport::Clock::unix_now() * 1000));
@@ -360,7 +361,7 @@
   const auto client = site.client();
   client->send(Site::get(kId1));
   site.hears(spare, "serve " + kId1);
-  CHECK(spare.heard_all("agelim="));
+  CHECK(spare.has_received("agelim="));
   CHECK(site.cache.ends.empty());
 }
 
@@ -396,13 +397,14 @@
     list->start({});
   }
   void asked(std::size_t place, long long after) {
-    until([&] { return changes.heard_all("Last-Event-ID: " + std::to_string(after) + "\r\n\r\n", place); });
+    until(
+        [&] { return changes.has_received("Last-Event-ID: " + std::to_string(after) + "\r\n\r\n", place); });
   }
   void says(std::size_t place, const std::string& id, const std::string& data, bool head = false) {
     std::string text = head ? "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n" : "";
     changes.ends[place]->send(text + "id: " + id + "\ndata: " + data + "\n\n");
   }
-  StandIn changes{scheduler};
+  StandInServer changes{scheduler};
   std::optional<distribution::Subscription> list;
 };
 }  // namespace
@@ -432,12 +434,12 @@
   site.asked(0, 4);
   site.asked(1, 4);  // never answered
   CHECK(site.counters.log_silent >= 1);
-  site.until([&] { return site.changes.came(3); });
+  site.until([&] { return site.changes.has_connections(3); });
   site.changes.ends.back()->send("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
   const std::size_t before = site.changes.ends.size();
-  site.until([&] { return site.changes.came(before + 1); });
+  site.until([&] { return site.changes.has_connections(before + 1); });
   site.changes.ends.back()->send("garbage\r\n\r\n");
-  site.until([&] { return site.changes.came(before + 2); });
+  site.until([&] { return site.changes.has_connections(before + 2); });
 }
 
 TEST_CASE("the change stream: requests go out while a backlog is worked off") {
@@ -461,9 +463,9 @@
 TEST_CASE("the change log: another address is followed at once, and what both tell counts once") {
   Followed site;
   site.asked(0, 4);
-  StandIn second(site.scheduler), third(site.scheduler);
-  const auto asked = [&](StandIn& feed, const std::string& after) {
-    site.until([&] { return feed.heard_all("Last-Event-ID: " + after + "\r\n\r\n"); });
+  StandInServer second(site.scheduler), third(site.scheduler);
+  const auto asked = [&](StandInServer& feed, const std::string& after) {
+    site.until([&] { return feed.has_received("Last-Event-ID: " + after + "\r\n\r\n"); });
   };
   site.says(0, "5", R"({"seq":5,"invalidate":{"bucket":17,"time":1}})", true);
   site.until([&] { return site.list->last() == 5; });
@@ -476,7 +478,7 @@
   site.until([&] { return site.list->last() == 6; });
   site.until([&] { return site.counters.purges == 2; });
   site.list->moved({{second.address, "second"}});  // nothing new: the connection stays
-  site.list->moved({{nobody(site.scheduler), "nobody"}});
+  site.list->moved({{unused_address(site.scheduler), "nobody"}});
   site.list->moved({{third.address, "third"}});  // several at once: the last counts
   asked(third, "6");
   CHECK(second.ends.size() == 1);
@@ -495,7 +497,8 @@
   site.until([&] { return site.list->last() == 5; });
   const auto other = site.client();
   other->send(Site::get(kId2));
-  site.until([&] { return site.cache.heard_all("serve " + kId2, 1); });  // on a connection of the new one's
+  site.until(
+      [&] { return site.cache.has_received("serve " + kId2, 1); });  // on a connection of the new one's
   site.cache.ends[0]->send(kId1 + " ACK - 3\r\none\r\n");
   site.hears(*client, "one");
   site.until([&] { return site.cache.ends[0]->ended; });  // the old one's is closed
--- a/tests/routing/shutdown_test.cpp
+++ b/tests/routing/shutdown_test.cpp
@@ -38,7 +38,8 @@
     return client;
   }
   void hears(const End& end, const std::string& words) {
-    CHECK_MESSAGE(runs_until(scheduler, [&] { return end.heard_all(words); }), words << " in " << end.heard);
+    CHECK_MESSAGE(run_until(scheduler, [&] { return end.has_received(words); }),
+                  words << " in " << end.heard);
   }
 
   Scheduler scheduler;
@@ -46,7 +47,7 @@
   Counters counters;
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
-  StandIn origin{scheduler};
+  StandInServer origin{scheduler};
   std::optional<DirectorActor> module;
   std::optional<ClientListener> front;
 };
@@ -58,13 +59,13 @@
 TEST_CASE("the director's end: an open request is ended, a later one that never ran is rejected") {
   Site site;
   const auto open = site.put(kId1);
-  CHECK(runs_until(site.scheduler, [&] { return site.origin.heard_all("serve " + kId1); }));
+  CHECK(run_until(site.scheduler, [&] { return site.origin.has_received("serve " + kId1); }));
   site.module->cap_deadlines(Scheduler::now() + 0.05);
   site.hears(*open, "HTTP/1.1 500");
   const auto late = site.put(kId2);
   site.hears(*late, "HTTP/1.1 503");
   CHECK(site.counters.overdue == 0);
-  CHECK_FALSE(site.origin.heard_all("serve " + kId2));
+  CHECK_FALSE(site.origin.has_received("serve " + kId2));
 }
 
 TEST_CASE("the director's end: nothing is held past it after a late turn, nor for a backlog of changes") {
@@ -72,10 +73,10 @@
     Site site;
     bool taken = false;
     site.module->changes_arrived({}, backlog, [&](bool) { taken = true; });
-    CHECK(runs_until(site.scheduler, [&] { return taken; }));
+    CHECK(run_until(site.scheduler, [&] { return taken; }));
     site.module->woke_late(Scheduler::now() + (backlog ? 0 : 60));
     const auto held = site.put(kId1);
-    CHECK(runs_until(site.scheduler, [&] { return site.counters.taken == 1; }));
+    CHECK(run_until(site.scheduler, [&] { return site.counters.taken == 1; }));
     site.module->cap_deadlines(Scheduler::now() + 0.05);
     site.hears(*held, "HTTP/1.1 503");
     CHECK(site.counters.bounced == 1);
--- a/tests/routing/upstream_node_test.cpp
+++ b/tests/routing/upstream_node_test.cpp
@@ -44,7 +44,7 @@
   }
   Seconds max_copy_age(const RequestId&) override { return oldest; }
   void until(int ended) {
-    CHECK(runs_until(scheduler, [&] { return ends >= ended; }));
+    CHECK(run_until(scheduler, [&] { return ends >= ended; }));
   }
   void say(const std::string& words) { trace += "-- " + words + "\n"; }
 
@@ -60,7 +60,7 @@
 
 void let_pass(Scheduler& scheduler, Seconds time) {
   const Seconds until = Scheduler::now() + time;
-  CHECK(runs_until(scheduler, [&] { return Scheduler::now() >= until; }));
+  CHECK(run_until(scheduler, [&] { return Scheduler::now() >= until; }));
 }
 
 // What a node was told of an attempt: ttl in seconds, agelim in milliseconds as it was worded.
@@ -88,10 +88,10 @@
     desk.peer->moved(node.address);
   }
   void until_heard(const std::string& words, std::size_t place = 0) {
-    CHECK(runs_until(desk.scheduler, [&] { return node.heard_all(words, place); }));
+    CHECK(run_until(desk.scheduler, [&] { return node.has_received(words, place); }));
   }
   Desk desk;
-  StandIn node;
+  StandInServer node;
 };
 
 }  // namespace
@@ -113,7 +113,7 @@
 
 TEST_CASE("no connection: it never ran") {
   Scheduler other;
-  Desk refused(nobody(other));
+  Desk refused(unused_address(other));
   refused.attempt("p1");
   refused.attempt("p2");
   refused.until(2);
@@ -164,7 +164,7 @@
   for (std::size_t place = 0; place < 3; ++place) pair.until_heard("serve p", place);
   const auto at = [&](const std::string& id) {
     for (const auto& end : pair.node.ends)
-      if (end->heard_all("serve " + id)) return end;
+      if (end->has_received("serve " + id)) return end;
     return std::shared_ptr<End>();
   };
   at("p1")->send("p1 noise\r\n");
@@ -174,12 +174,12 @@
   pair.desk.until(2);
   const auto second = at("p2");
   pair.desk.attempt("p4");
-  CHECK(runs_until(pair.desk.scheduler, [&] { return second->heard_all("serve p4"); }));
+  CHECK(run_until(pair.desk.scheduler, [&] { return second->has_received("serve p4"); }));
   second->send("p4 NOENT - 0\r\n\r\np4 NOENT - 0\r\n\r\n");
   pair.desk.until(3);
   pair.desk.say("asked once more: not where the answer may come a second time");
   pair.desk.attempt("p4", 1);
-  CHECK(runs_until(pair.desk.scheduler, [&] { return pair.node.came(4); }));
+  CHECK(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(4); }));
   pair.until_heard("serve p4", 3);
   pair.node.ends[3]->send("p4 ACK - 4\r\nfour\r\n");
   pair.desk.until(4);
@@ -206,9 +206,9 @@
 TEST_CASE("a reset before all was written: it goes on, once, on another connection") {
   Pair pair(false);  // the node never reads
   pair.desk.attempt("large", 0, 15, 64 << 20);
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(1); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(1); }));
   pair.node.ends[0]->reset();
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(2); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(2); }));
   CHECK(pair.desk.ends == 0);
   pair.node.ends[1]->reset();
   pair.desk.until(1);
@@ -223,7 +223,7 @@
   pair.until_heard(" 4\r\nbbbb");
   pair.node.ends[0]->reset();
   pair.until_heard(" 4\r\nbbbb", 1);
-  CHECK_FALSE(pair.node.heard_all("bbbb\r\n", 0));
+  CHECK_FALSE(pair.node.has_received("bbbb\r\n", 0));
   CHECK(pair.desk.ends == 0);
   pair.desk.limits.final_write_delay = 0.001;
   pair.desk.attempt("p2", 0, 15, 3);
@@ -239,10 +239,10 @@
   pair.desk.attempt("small");
   pair.desk.attempt("large", 0, 15, 64 << 20);
   pair.desk.attempt("behind");
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(1); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(1); }));
   pair.desk.peer->cancel({"large"}, {0});
   pair.desk.until(2);
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(2); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(2); }));
   CHECK(pair.desk.counters.moved_on == 1);
   pair.desk.peer->cancel({"behind"}, {0});
   pair.desk.until(3);
@@ -255,7 +255,7 @@
   pair.until_heard("serve large", 1);
   pair.node.ends[1]->send("large ACK - 2\r\nok\r\n");
   pair.desk.until(5);
-  CHECK_FALSE(pair.node.heard_all("serve late", 1));
+  CHECK_FALSE(pair.node.has_received("serve late", 1));
   check_trace("peer_half_written", pair.desk.trace);
 }
 
@@ -265,7 +265,7 @@
   pair.desk.attempt("p1", 0, 0.05);
   pair.desk.until(1);
   pair.desk.attempt("p2");
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.heard_all("serve p2", 1); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_received("serve p2", 1); }));
   CHECK(pair.desk.counters.links_doubted == 1);
   pair.node.ends[1]->send("p2 ACK - 0\r\n\r\n");
   pair.desk.until(2);
@@ -285,7 +285,7 @@
   pair.until_heard("cancel p1");
   pair.desk.say("the same request again: on another connection, or the answers could not be told apart");
   pair.desk.attempt("p1", 1);
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.heard_all("serve p1", 1); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_received("serve p1", 1); }));
   pair.desk.attempt("p2");
   pair.until_heard("serve p2");
   pair.node.ends[0]->send("p1 ACK - 3\r\nold\r\np2 ACK - 3\r\ntwo\r\n");
@@ -301,16 +301,16 @@
   pair.desk.attempt("p1");
   pair.until_heard("serve p1");
   pair.desk.limits.max_connections_per_node = 2;
-  StandIn other(pair.desk.scheduler);
+  StandInServer other(pair.desk.scheduler);
   pair.desk.peer->moved(other.address);
   pair.desk.attempt("p2");
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return other.heard_all("serve p2"); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return other.has_received("serve p2"); }));
   pair.desk.peer->gone();
   pair.node.ends[0]->send("p1 ACK - 3\r\none\r\n");
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.ends[0]->ended; }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.ends[0]->ended; }));
   CHECK_FALSE(other.ends[0]->ended);
   other.ends[0]->send("p2 ACK - 3\r\ntwo\r\n");
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return other.ends[0]->ended; }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return other.ends[0]->ended; }));
   CHECK(pair.desk.links == 0);
   check_trace("peer_moves", pair.desk.trace);
 }
@@ -321,7 +321,7 @@
   pair.desk.attempt("p1");
   pair.until_heard("serve p1");
   pair.node.ends[0]->send("p1 ACK - 0\r\n\r\n");
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.ends[0]->ended; }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.ends[0]->ended; }));
   CHECK(pair.desk.counters.links_idle == 1);
   pair.desk.limits.max_connections_per_node = 3;
   pair.desk.say("fifteen fit on three connections of five each, no more");
@@ -336,10 +336,10 @@
   pair.desk.attempt("p1");
   pair.until_heard("serve p1");
   pair.node.ends[0]->send("p1 AGAIN - 0\r\n\r\n");
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.ends[0]->ended; }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.ends[0]->ended; }));
   CHECK(pair.desk.counters.links_turned_away == 1);
   pair.desk.attempt("p1", 1);
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.heard_all("serve p1", 1); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_received("serve p1", 1); }));
   pair.node.ends[1]->send("p1 NOENT why=absent 0\r\n\r\n");
   pair.desk.until(2);
   for (const char* request : {"p2", "p3"}) {
@@ -374,7 +374,7 @@
     }
   };
   desk.scheduler.spawn(take(desk.scheduler, full, ends));
-  CHECK(runs_until(desk.scheduler, [&] { return ends.size() == 2 && ends[1]->heard_all("serve p1"); }));
+  CHECK(run_until(desk.scheduler, [&] { return ends.size() == 2 && ends[1]->has_received("serve p1"); }));
   CHECK(told(ends.at(1)->heard, "p1").time_left <= give_up_at - free_at);
 }
 
@@ -383,7 +383,7 @@
   Pair pair(false);  // the node does not read yet
   pair.desk.limits.send_start_timeout = 15;
   pair.desk.attempt("large", 0, 15, 64 << 20);
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(1); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(1); }));
   pair.desk.attempt("any", 0, 15);
   pair.desk.attempt("fresh", 0, 15, 0, 8);
   pair.desk.attempt("strict", 0, 15, 0, 0.25);
@@ -405,7 +405,7 @@
   CHECK(pair.desk.trace == "left/0 at c1: not sent\n");
   pair.node.ends[0]->send("strict ACK - 0\r\n\r\n");  // what is behind it has been written by now, if at all
   pair.desk.until(2);
-  CHECK_FALSE(pair.node.heard_all("serve left"));
+  CHECK_FALSE(pair.node.has_received("serve left"));
 }
 
 TEST_CASE("moved on from a connection that broke: the other is told the time that is left then") {
@@ -414,12 +414,12 @@
   pair.desk.attempt("large", 0, 15, 64 << 20);
   pair.desk.attempt("small");
   const Seconds give_up_at = Scheduler::now() + 15;
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(1); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(1); }));
   let_pass(pair.desk.scheduler, 0.2);
   pair.desk.oldest = 0.5;
   const Seconds broke_at = Scheduler::now();
   pair.node.ends[0]->reset();
-  REQUIRE(runs_until(pair.desk.scheduler, [&] { return pair.node.came(2); }));
+  REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(2); }));
   pair.node.ends[1]->listen();
   pair.until_heard("serve small", 1);
   for (const char* request : {"large", "small"}) {
@@ -452,9 +452,9 @@
     pair.until_heard("serve next");
     if (!crossed) continue;
     pair.desk.until(3);
-    CHECK_FALSE(pair.node.heard_all("serve late"));
-    CHECK_FALSE(pair.node.heard_all("serve gone"));
-    CHECK_FALSE(pair.node.heard_all("serve past"));
+    CHECK_FALSE(pair.node.has_received("serve late"));
+    CHECK_FALSE(pair.node.has_received("serve gone"));
+    CHECK_FALSE(pair.node.has_received("serve past"));
     pair.node.ends[0]->send("write ACK - 0\r\n\r\nnext ACK - 0\r\n\r\n");
     pair.desk.until(5);
     CHECK(pair.desk.ends == 5);
--- a/tests/transport/transport_test.cpp
+++ b/tests/transport/transport_test.cpp
@@ -114,28 +114,28 @@
 }
 
 TEST_CASE("a scheduler that goes takes with it what still waits") {
-  StandIn* never = nullptr;
+  StandInServer* never = nullptr;
   {
     Scheduler scheduler;
-    StandIn server(scheduler);
+    StandInServer server(scheduler);
     const auto client = dial(scheduler, server.address);
     Mailbox mailbox(scheduler);
     scheduler.spawn(mailbox.serve());
     scheduler.at(Scheduler::now() + 1000, [&] { never = &server; });
-    REQUIRE(runs_until(scheduler, [&] { return server.came(1); }));
+    REQUIRE(run_until(scheduler, [&] { return server.has_connections(1); }));
   }
   CHECK(never == nullptr);
 }
 
 TEST_CASE("sockets: bytes, ends, refusals, time-outs") {
   Scheduler scheduler;
-  StandIn server(scheduler), deaf(scheduler, false);
+  StandInServer server(scheduler), deaf(scheduler, false);
   const auto client = dial(scheduler, server.address);
   client->send("hello");
-  REQUIRE(runs_until(scheduler, [&] { return server.heard() == "hello"; }));
+  REQUIRE(run_until(scheduler, [&] { return server.heard() == "hello"; }));
   server.ends[0]->send("bye");
   server.ends[0]->close();
-  REQUIRE(runs_until(scheduler, [&] { return client->ended; }));
+  REQUIRE(run_until(scheduler, [&] { return client->ended; }));
   CHECK(client->heard == "bye");
 
   std::string trace;
@@ -151,15 +151,15 @@
     connected.socket.close();
     told += (co_await connected.socket.read(in, 16, kNever)).end == IoEnd::kClosed ? "closed" : "?";
   };
-  scheduler.spawn(try_out(scheduler, nobody(scheduler), deaf.address, trace));
-  REQUIRE(runs_until(scheduler, [&] { return trace.ends_with("closed") || trace.find('?') != trace.npos; }));
+  scheduler.spawn(try_out(scheduler, unused_address(scheduler), deaf.address, trace));
+  REQUIRE(run_until(scheduler, [&] { return trace.ends_with("closed") || trace.find('?') != trace.npos; }));
   CHECK(trace == "refused stuck silent closed");
 }
 
 TEST_CASE(
     "after a turn that took long, what came meanwhile is heard before any time-out, and the pause is told") {
   Scheduler scheduler;
-  StandIn server(scheduler);
+  StandInServer server(scheduler);
   std::string trace;
   Seconds told = 0;
   scheduler.on_late = [&](Seconds until) { told = until; };
@@ -171,19 +171,19 @@
   };
   scheduler.spawn(hear(scheduler, server.address, trace));
   // As if the process were stopped here, past the time-out, with bytes on their way.
-  const auto stand_still = [](Scheduler& s, StandIn& from) -> Task<> {
-    while (!from.came(1)) co_await s.sleep_until(Scheduler::now() + 0.001);
+  const auto stand_still = [](Scheduler& s, StandInServer& from) -> Task<> {
+    while (!from.has_connections(1)) co_await s.sleep_until(Scheduler::now() + 0.001);
     s.at(Scheduler::now() + 0.01, [&from] {
       from.ends[0]->send("news");
       usleep(500000);
     });
   };
   scheduler.spawn(stand_still(scheduler, server));
-  REQUIRE(runs_until(scheduler, [&] { return !trace.empty(); }));
+  REQUIRE(run_until(scheduler, [&] { return !trace.empty(); }));
   CHECK(trace == "news, late");
   CHECK(told > 0);
   const Seconds calm = Scheduler::now() + 0.1;
-  REQUIRE(runs_until(scheduler, [&] { return Scheduler::now() > calm; }));
+  REQUIRE(run_until(scheduler, [&] { return Scheduler::now() > calm; }));
   CHECK(scheduler.late() == 0);
 }
 
--- a/tests/wall_clock/wall_clock_test.cpp
+++ b/tests/wall_clock/wall_clock_test.cpp
@@ -39,7 +39,7 @@
     step_wall_clock(0);
     std::fclose(sink);
   }
-  static std::string entry(const std::string& id, const StandIn& node, const std::string& zone,
+  static std::string entry(const std::string& id, const StandInServer& node, const std::string& zone,
                            const std::string& kind, Seconds started) {
     return R"({"id":")" + id + R"(","addr":")" + node.address.text() + R"(","zone":")" + zone +
            R"(","kind":")" + kind + R"(","cell":1,"state":"active","weight":60,"started_ms":)" +
@@ -58,7 +58,7 @@
   void tell(const std::string& change) {
     bool taken = false;
     module->changes_arrived({{0, *protocol::Json::parse(change)}}, false, [&](bool) { taken = true; });
-    REQUIRE(runs_until(scheduler, [&] { return taken; }));
+    REQUIRE(run_until(scheduler, [&] { return taken; }));
   }
   static std::string id_of(int number) {
     const std::string digits = std::to_string(number);
@@ -69,8 +69,8 @@
            "/block-0 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id_of(number) +
            "\r\nX-Deadline-Ms: 15000\r\nX-Family: 17\r\nX-Need-Kb: " + size_kb + "\r\n\r\n";
   }
-  void hears(StandIn& node, const std::string& words) {
-    CHECK_MESSAGE(runs_until(scheduler, [&] { return node.heard_all(words); }),
+  void hears(StandInServer& node, const std::string& words) {
+    CHECK_MESSAGE(run_until(scheduler, [&] { return node.has_received(words); }),
                   words << " in " << node.heard());
   }
 
@@ -79,19 +79,19 @@
   Counters counters;
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
-  StandIn cache{scheduler}, origin{scheduler};
+  StandInServer cache{scheduler}, origin{scheduler};
   std::optional<DirectorActor> module;
   std::optional<ClientListener> front;
 };
 
 // The line of an attempt as a node heard it.
-std::string line_of(const StandIn& node, int number) {
+std::string line_of(const StandInServer& node, int number) {
   const std::string heard = node.heard();
   const auto at = heard.find("serve " + Site::id_of(number));
   return at == std::string::npos ? "" : heard.substr(at, heard.find('\n', at) - at);
 }
 
-std::size_t attempts_at(const StandIn& node) {
+std::size_t attempts_at(const StandInServer& node) {
   std::size_t found = 0;
   for (const auto& end : node.ends)
     for (auto at = end->heard.find("serve "); at != std::string::npos; at = end->heard.find("serve ", at + 1))
@@ -123,7 +123,7 @@
   constexpr int kRequests = 40;
   for (const Seconds step : {-kHour, -5.0, 0.0, kHour}) {
     Site site;
-    StandIn fresh(site.scheduler);
+    StandInServer fresh(site.scheduler);
     const Seconds started = Clock::unix_now();
     step_wall_clock(step);
     site.tell(Site::fleet(false, {Site::entry("c2", fresh, "z2", "cache", started)}));
@@ -132,11 +132,11 @@
       clients.push_back(dial(site.scheduler, site.front->address()));
       clients.back()->send(Site::get(number, "4000"));
     }
-    CHECK(runs_until(site.scheduler, [&] { return site.counters.taken == kRequests; }));
+    CHECK(run_until(site.scheduler, [&] { return site.counters.taken == kRequests; }));
     const auto attempts = [&] {
       return attempts_at(fresh) + attempts_at(site.cache) + attempts_at(site.origin);
     };
-    CHECK(runs_until(site.scheduler, [&] { return attempts() >= kRequests; }));
+    CHECK(run_until(site.scheduler, [&] { return attempts() >= kRequests; }));
     CHECK(attempts_at(fresh) > 0);
     CHECK_MESSAGE(attempts_at(fresh) <= kMost, "step " << step);
   }
@@ -151,7 +151,7 @@
     clients.push_back(dial(site.scheduler, site.front->address()));
   std::map<const End*, std::size_t> read_to;  // of what each connection to a node has heard
   const auto answer_all = [&] {
-    for (StandIn* node : {&site.cache, &site.origin}) {
+    for (StandInServer* node : {&site.cache, &site.origin}) {
       for (const auto& end : node->ends) {
         std::size_t& from = read_to[end.get()];
         for (auto at = end->heard.find("serve ", from);
@@ -167,14 +167,14 @@
     for (int place = 0; place < kClients; ++place)
       clients[static_cast<std::size_t>(place)]->send(Site::get(round * kClients + place + 1));
     // The step comes while requests are out.
-    CHECK(runs_until(site.scheduler, [&] { return site.counters.attempts > asked; }));
+    CHECK(run_until(site.scheduler, [&] { return site.counters.attempts > asked; }));
     step_wall_clock(steps[round]);
-    CHECK(runs_until(site.scheduler, [&] {
+    CHECK(run_until(site.scheduler, [&] {
       answer_all();
       return site.counters.completed == static_cast<std::uint64_t>((round + 1) * kClients);
     }));
   }
-  CHECK(runs_until(site.scheduler, [&] {
+  CHECK(run_until(site.scheduler, [&] {
     return std::all_of(clients.begin(), clients.end(), [](const auto& client) {
       std::size_t answers = 0;
       for (auto at = client->heard.find("HTTP/1.1 200"); at != std::string::npos;
