--- a/src/routing/client_request.cpp
+++ b/src/routing/client_request.cpp
@@ -38,7 +38,7 @@
 
 // A request's target: /invoke/CLASS/OBJECT or /invoke/CLASS/OBJECT/block-PART. Views into the target.
 struct RequestTarget {
-  std::string_view request_class;
+  std::string_view request_class_name;
   std::string_view object;
   std::string_view piece;  // the digits of the part; empty where the target names none
   PartNumber part;
@@ -50,7 +50,7 @@
   text.remove_prefix(kTargetStart.size());
   const auto class_end = text.find('/');
   if (class_end == std::string_view::npos) return {};
-  target.request_class = text.substr(0, class_end);
+  target.request_class_name = text.substr(0, class_end);
   text.remove_prefix(class_end + 1);
   const auto object_end = text.find('/');
   target.object = text.substr(0, object_end);
@@ -124,7 +124,7 @@
   if (!target) return false;
   ObjectId object;
   const auto& request_classes = listener_.names_.request_classes;
-  const auto known = std::find(request_classes.begin(), request_classes.end(), target->request_class);
+  const auto known = std::find(request_classes.begin(), request_classes.end(), target->request_class_name);
   if (known == request_classes.end() || !protocol::read_object(target->object, object)) return false;
   if (!http_request_.has_id || !http_request_.has_stop || http_request_.bad) return false;
   // What a node would answer with an error: a read that brings bytes, a write that does not write.
@@ -146,7 +146,7 @@
     return true;
   }
   auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
-  forwarded_request->lane = target->request_class;
+  forwarded_request->lane = target->request_class_name;
   forwarded_request->name = target->object;
   forwarded_request->piece = target->piece;
   forwarded_request->cached = std::move(http_request_.cached);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr Seconds kSpan = 2;          // Contract.FallS of Rig::usual_settings
+constexpr Seconds kSpan = 2;          // Contract.FallS of DirectorFixture::usual_settings
 constexpr Seconds kCacheWarms = 60;   // Contract.ColdS
 constexpr Seconds kParentWarms = 60;  // FamilyInfo.ParentWarmsInS
 constexpr double kCacheFrom = 0.2;    // Contract.StartCapacity
--- a/tests/program/shutdown_test.cpp
+++ b/tests/program/shutdown_test.cpp
@@ -61,7 +61,7 @@
   // An attempt of the request has reached a node.
   bool is_out(int number) const {
     for (const StandInServer* node : {&cache, &origin})
-      for (const auto& end : node->ends)
+      for (const auto& end : node->connections)
         if (end->has_received("serve " + id(number))) return true;
     return false;
   }
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -66,10 +66,10 @@
   void answer(std::string_view request, Result result, AnswerDetail note, Seconds waited, bool same,
               std::string_view tag, const LoadReport& report, std::string_view body) override {
     words += std::string(request) + " result " + std::to_string(static_cast<int>(result)) + " note " +
-             std::to_string(static_cast<int>(note)) + " waited " + Rig::text(waited);
+             std::to_string(static_cast<int>(note)) + " waited " + DirectorFixture::text(waited);
     if (same) words += " same";
     words += " tag '" + std::string(tag) + "'";
-    for (const auto& [name, value] : report) words += " " + name + ":" + Rig::text(value);
+    for (const auto& [name, value] : report) words += " " + name + ":" + DirectorFixture::text(value);
     words += " bytes " + std::to_string(body.size()) + " '" + std::string(body.substr(0, 12)) + "'\n";
   }
 };
@@ -222,14 +222,14 @@
                   double started) override {
     words += " " + node.value + " " + address + " " + zone + " " + kind + " cell " +
              std::to_string(cell.value) + " state " + std::to_string(static_cast<int>(endpoint_state)) +
-             " weight " + Rig::text(weight) + " started " + Rig::text(started) + "\n";
+             " weight " + DirectorFixture::text(weight) + " started " + DirectorFixture::text(started) + "\n";
   }
   void list_ends() override { words += "end of list\n"; }
   void object_purged(ObjectId object, double at) override {
-    words += "object " + std::to_string(object.value) + " purged at " + Rig::text(at) + "\n";
+    words += "object " + std::to_string(object.value) + " purged at " + DirectorFixture::text(at) + "\n";
   }
   void group_purged(GroupId group, double at) override {
-    words += "group " + std::to_string(group.value) + " purged at " + Rig::text(at) + "\n";
+    words += "group " + std::to_string(group.value) + " purged at " + DirectorFixture::text(at) + "\n";
   }
   void unknown_field(std::string_view name) override { words += "unknown " + std::string(name) + "\n"; }
   void skipped(const std::string& what) override { words += "skipped " + what + "\n"; }
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -177,7 +177,7 @@
     limits.answer_stall_timeout = 15;
     limits.final_write_delay = 0;
     if (change) change(limits);
-    Settings settings = Rig::usual_settings();
+    Settings settings = DirectorFixture::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
     const Names names{
         {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
@@ -207,7 +207,7 @@
     std::size_t count = 0;
     const std::string mark = "serve " + id;
     for (const StandInServer* node : {&cache, &parent, &origin})
-      for (const auto& end : node->ends)
+      for (const auto& end : node->connections)
         for (auto at = end->heard.find(mark); at != std::string::npos; at = end->heard.find(mark, at + 1))
           ++count;
     return count;
@@ -235,7 +235,7 @@
   // Each node that holds an attempt at the request answers it so.
   void nodes_answer(const std::string& id, const std::string& answer) {
     for (StandInServer* node : {&cache, &parent, &origin})
-      for (const auto& end : node->ends)
+      for (const auto& end : node->connections)
         if (end->has_received("serve " + id)) end->try_send(id + " " + answer + "\r\n");
   }
 
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -100,24 +100,24 @@
 }
 
 TEST_CASE("failures of our own: tried again after pauses, at the same node, which is not to blame") {
-  Rig rig;
-  rig.list(ListCompleteness::kFull, "c1 P1 O");
+  DirectorFixture fixture;
+  fixture.list(ListCompleteness::kFull, "c1 P1 O");
   for (const int request_class : {0, 2}) {  // a read, and a binding write: it never ran
     const std::string request = "p" + std::to_string(request_class);
-    rig.request(request, 7, request_class);
+    fixture.request(request, 7, request_class);
     for (int number = 0; number < 7; ++number) {
-      REQUIRE(rig.node_of[request].size() == static_cast<std::size_t>(number) + 1);
-      rig.ends(request, number, Result::kLocalFailure, AnswerDetail::kNone, 0);
-      CHECK(rig.node_of[request].size() == static_cast<std::size_t>(number) + 1);
-      rig.run_until(rig.now + 0.02 * (1 << number) + 0.001);
+      REQUIRE(fixture.node_of[request].size() == static_cast<std::size_t>(number) + 1);
+      fixture.ends(request, number, Result::kLocalFailure, AnswerDetail::kNone, 0);
+      CHECK(fixture.node_of[request].size() == static_cast<std::size_t>(number) + 1);
+      fixture.run_until(fixture.now + 0.02 * (1 << number) + 0.001);
     }
-    rig.taken();
-    rig.ends(request, 7, Result::kLocalFailure, AnswerDetail::kNone, 0);
-    CHECK(rig.taken().find(request + ": bounce") != std::string::npos);
-    for (const std::string& node : rig.node_of[request]) CHECK(node == "c1");
+    fixture.taken();
+    fixture.ends(request, 7, Result::kLocalFailure, AnswerDetail::kNone, 0);
+    CHECK(fixture.taken().find(request + ": bounce") != std::string::npos);
+    for (const std::string& node : fixture.node_of[request]) CHECK(node == "c1");
   }
-  rig.request("next", 7);
-  CHECK(rig.node_of["next"] == std::vector<std::string>{"c1"});
+  fixture.request("next", 7);
+  CHECK(fixture.node_of["next"] == std::vector<std::string>{"c1"});
 }
 
 TEST_CASE("a moment without local ports costs no request its answer") {
@@ -133,7 +133,7 @@
   Log log{fileno(sink)};
   const Names names{
       {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
-  DirectorActor module(scheduler, limits, counters, log, names, Rig::usual_settings(), 7);
+  DirectorActor module(scheduler, limits, counters, log, names, DirectorFixture::usual_settings(), 7);
   module.start();
   const auto entry = [](const char* id, const StandInServer& node, const char* zone, const char* kind) {
     return R"({"id":")" + std::string(id) + R"(","addr":")" + node.address.text() + R"(","zone":")" + zone +
@@ -148,7 +148,8 @@
 
   // As many failures as the requests have attempts, all together.
   const auto client = std::make_shared<Client>();
-  connect_failure = {EADDRNOTAVAIL, 2 * std::stoi(Rig::usual_settings().at("Permissions.MaxAttempts"))};
+  connect_failure = {EADDRNOTAVAIL,
+                     2 * std::stoi(DirectorFixture::usual_settings().at("Permissions.MaxAttempts"))};
   for (const bool write : {false, true}) {  // the write is binding: one that was not sent may still be sent
     auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
     forwarded_request->lane = write ? "write" : "video", forwarded_request->name = "7f";
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -22,7 +22,7 @@
     limits.max_connections_per_node = 1;
     limits.final_write_delay = 0;
     if (change) change(limits);
-    Settings settings = Rig::usual_settings();
+    Settings settings = DirectorFixture::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
     const Names names{
         {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
@@ -135,14 +135,14 @@
     const auto count = [&] {
       std::size_t found = 0;
       for (const StandInServer* node : {&site.cache, &site.parent, &site.origin})
-        for (const auto& end : node->ends)
+        for (const auto& end : node->connections)
           for (auto at = end->heard.find(mark); at != std::string::npos; at = end->heard.find(mark, at + 1))
             ++found;
       return static_cast<int>(found);
     };
     site.until([&] { return count() > number || third->has_received("503"); });
     for (StandInServer* node : {&site.cache, &site.parent, &site.origin})
-      for (const auto& end : node->ends)
+      for (const auto& end : node->connections)
         if (end->has_received(mark) && !end->ended) end->send("00000000000000bb AGAIN why=crowded 0\r\n\r\n");
   }
   site.hears(*third, "503");
--- a/tests/routing/shutdown_test.cpp
+++ b/tests/routing/shutdown_test.cpp
@@ -18,7 +18,7 @@
     limits = program::fill_limits(nothing, nothing);
     limits.deadline_guard_delay = 60;  // only the module's own end counts here
     limits.max_change_backlog_hold = 60;
-    Settings settings = Rig::usual_settings();
+    Settings settings = DirectorFixture::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
     const Names names{
         {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
--- a/tests/routing/upstream_node_test.cpp
+++ b/tests/routing/upstream_node_test.cpp
@@ -209,7 +209,7 @@
   REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(1); }));
   pair.node.connections[0]->reset();
   REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(2); }));
-  CHECK(pair.desk.connections == 0);
+  CHECK(pair.desk.ends == 0);
   pair.node.connections[1]->reset();
   pair.desk.until(1);
   CHECK(pair.desk.counters.moved_on == 1);
@@ -224,7 +224,7 @@
   pair.node.connections[0]->reset();
   pair.until_heard(" 4\r\nbbbb", 1);
   CHECK_FALSE(pair.node.has_received("bbbb\r\n", 0));
-  CHECK(pair.desk.connections == 0);
+  CHECK(pair.desk.ends == 0);
   pair.desk.limits.final_write_delay = 0.001;
   pair.desk.attempt("p2", 0, 15, 3);
   pair.until_heard("bbb\r\n", 2);
@@ -428,7 +428,7 @@
     CHECK(told(pair.node.connections[1]->heard, request).max_copy_age == "500");
   }
   CHECK(pair.desk.counters.moved_on == 2);
-  CHECK(pair.desk.connections == 0);
+  CHECK(pair.desk.ends == 0);
 }
 
 TEST_CASE("with no time left, or no client, an attempt is never written, and others go on") {
@@ -458,7 +458,7 @@
     CHECK_FALSE(pair.node.has_received("serve past"));
     pair.node.connections[0]->send("write ACK - 0\r\n\r\nnext ACK - 0\r\n\r\n");
     pair.desk.until(5);
-    CHECK(pair.desk.connections == 5);
+    CHECK(pair.desk.ends == 5);
   }
   CHECK(crossed);
 }
--- a/tests/wall_clock/wall_clock_test.cpp
+++ b/tests/wall_clock/wall_clock_test.cpp
@@ -23,7 +23,7 @@
   Site() {
     const auto nothing = *protocol::Json::parse("{}");
     limits = program::fill_limits(nothing, nothing);
-    Settings settings = Rig::usual_settings();
+    Settings settings = DirectorFixture::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
     const Names names{
         {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
@@ -152,7 +152,7 @@
   std::map<const TestConnection*, std::size_t> read_to;  // of what each connection to a node has heard
   const auto answer_all = [&] {
     for (StandInServer* node : {&site.cache, &site.origin}) {
-      for (const auto& end : node->ends) {
+      for (const auto& end : node->connections) {
         std::size_t& from = read_to[end.get()];
         for (auto at = end->heard.find("serve ", from);
              at != std::string::npos && at + 22 <= end->heard.size(); at = end->heard.find("serve ", from)) {
