--- a/experiments/capacity/roles.cpp
+++ b/experiments/capacity/roles.cpp
@@ -175,7 +175,7 @@
     distribution::SubscriptionOptions chosen;
     chosen.compressed = role.compressed;
     chosen.retry_longest = role.compressed ? kRetryLongest : 0;
-    chosen.silent = role.compressed ? distribution::kRelaySilent : 0;
+    chosen.silence_timeout = role.compressed ? distribution::kRelaySilenceTimeout : 0;
     chosen.seed = static_cast<std::uint64_t>(number) + 1;
     return chosen;
   };
--- a/src/distribution/relay_actor.cpp
+++ b/src/distribution/relay_actor.cpp
@@ -127,7 +127,7 @@
 
 Task<> RelayActor::tick(RelayActor& self) {
   for (;;) {
-    co_await self.scheduler_.sleep_until(Scheduler::now() + self.settings_.tick);
+    co_await self.scheduler_.sleep_until(Scheduler::now() + self.settings_.tick_interval);
     self.post(Ticked{self.source_alive()});
     if (!self.done_later_ || !self.relay_.has_room()) continue;
     std::exchange(self.done_later_, {})(true);
--- a/src/distribution/relay_actor.hpp
+++ b/src/distribution/relay_actor.hpp
@@ -30,7 +30,7 @@
   transport::Address address() const { return listener_.address(); }
   // Nobody is served any more, and every subscriber is closed: it goes on at another relay.
   void close();
-  void follow(std::vector<Endpoint> sources) { subscription_.moved(std::move(sources)); }
+  void set_sources(std::vector<Endpoint> sources) { subscription_.set_endpoints(std::move(sources)); }
   const Relay& relay() const { return relay_; }
   std::uint64_t bytes_given() const { return bytes_given_; }
   std::uint64_t writes() const { return writes_; }
--- a/src/distribution/relay_settings.hpp
+++ b/src/distribution/relay_settings.hpp
@@ -12,14 +12,14 @@
 
 // Silence after which a director leaves a relay: over a comment's second and two ticks, and with the way to
 // the next relay within the 2.3 s in which a purge has to be in force.
-constexpr transport::Seconds kRelaySilent = 1.6;
+constexpr transport::Seconds kRelaySilenceTimeout = 1.6;
 
 struct RelaySettings {
   bool enabled = false;
   transport::Address listen;
   std::vector<Endpoint> sources;           // or other relays; tried in order
   bool compressed = false;                 // asks the sources for gzip
-  transport::Seconds tick = 0.2;           // between writes to a subscriber
+  transport::Seconds tick_interval = 0.2;  // between writes to a subscriber
   std::size_t window_bytes = 1 << 20;      // of events kept for subscribers that come back
   transport::Seconds purge_lifetime = 10;  // after which every node has dropped what a purge names
   std::size_t purges_most = 200'000;       // live at once; past it reading pauses
--- a/src/distribution/subscription.cpp
+++ b/src/distribution/subscription.cpp
@@ -192,7 +192,7 @@
   follow();
 }
 
-void Subscription::moved(std::vector<Endpoint> endpoints) {
+void Subscription::set_endpoints(std::vector<Endpoint> endpoints) {
   mailbox_.post([this, endpoints = std::move(endpoints)]() mutable {
     if (endpoints == endpoints_) return;
     const Endpoint current = endpoints_[place_];
@@ -214,7 +214,7 @@
 }
 
 Seconds Subscription::silent_after() const {
-  return options_.silent > 0 ? options_.silent : limits_.change_stream_silence_timeout;
+  return options_.silence_timeout > 0 ? options_.silence_timeout : limits_.change_stream_silence_timeout;
 }
 
 // Guards against thousands of subscribers that come back in the same moment: each draws its own, and later
--- a/src/distribution/subscription.hpp
+++ b/src/distribution/subscription.hpp
@@ -38,7 +38,7 @@
   // doubled with each failure in a row. 0 for the longest: always Limits::log_again, undrawn.
   transport::Seconds retry_longest = 0;
   // Silence after which an endpoint is left; 0: Limits::log_silent.
-  transport::Seconds silent = 0;
+  transport::Seconds silence_timeout = 0;
   std::uint64_t seed = 1;
 };
 
@@ -53,7 +53,7 @@
   void start(const std::vector<protocol::Json>& known);
   // Only posts: from then on these are followed, after the last event taken in, and the old ones no more.
   // Where the endpoint followed now is among them nothing changes but what comes after it.
-  void moved(std::vector<Endpoint> endpoints);
+  void set_endpoints(std::vector<Endpoint> endpoints);
   // The number of the last event that the receiver has taken in; a new connection goes on behind it.
   long long last() const { return last_; }
   // When the source was last heard, in the scheduler's time; -infinity: never.
--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -444,7 +444,7 @@
   tell_figures();
   flush();
   const auto all_out = [&] {
-    if (worker_ && worker_->waiting() > 0) return false;
+    if (worker_ && worker_->pending() > 0) return false;
     return std::all_of(streams_.begin(), streams_.end(), [](const auto& stream) {
       if (stream->spooled && !stream->disk_fails && stream->to_disk < stream->backlog.end()) return false;
       return std::all_of(stream->receivers.begin(), stream->receivers.end(), [&](const auto& receiver) {
@@ -463,7 +463,7 @@
   spool_at_ = 0;
   disk_again_at_ = 0;
   look_after_spool();
-  while (worker_ && worker_->waiting() > 0 && Scheduler::now() < until)
+  while (worker_ && worker_->pending() > 0 && Scheduler::now() < until)
     co_await scheduler_.sleep_until(Scheduler::now() + 0.002);
   for (const auto& stream : streams_) {
     account_left_in_memory(*stream);
@@ -497,7 +497,7 @@
 }
 
 // What the spool dropped to keep its bounds may still be in memory, and is then sent from there.
-void Exporter::account_dropped_from_disk(Stream& stream, const storage::Dropped& dropped) {
+void Exporter::account_dropped_from_disk(Stream& stream, const storage::DroppedEntries& dropped) {
   for (const storage::SpoolEntry& entry : dropped)
     if (stream.backlog.at(entry.number)) stream.not_kept.insert(entry.number);
   account_gone(stream, dropped);
@@ -525,7 +525,7 @@
   const MessageNumber from = std::max(stream.to_disk, stream.backlog.first());
   struct Batch {
     std::vector<storage::SpoolEntry> entries;
-    storage::Dropped dropped;
+    storage::DroppedEntries dropped;
     std::string error;
     bool kept = false;
   };
@@ -590,7 +590,7 @@
   }
   struct Work {
     std::map<std::string, std::uint64_t> changed, written;
-    storage::Dropped dropped;
+    storage::DroppedEntries dropped;
     std::string error;
     bool done = false;
   };
--- a/src/flow/exporter.hpp
+++ b/src/flow/exporter.hpp
@@ -87,7 +87,7 @@
     Seconds written = 0;
   };
   SpoolAge spool_age() const;
-  void account_dropped_from_disk(Stream& stream, const storage::Dropped& dropped);
+  void account_dropped_from_disk(Stream& stream, const storage::DroppedEntries& dropped);
   void account_gone(Stream& stream, const std::vector<storage::SpoolEntry>& entries);
   void account_left_in_memory(Stream& stream);
   void disk_worked();
--- a/src/program/operator.cpp
+++ b/src/program/operator.cpp
@@ -114,7 +114,7 @@
 void read_relay(const json& object, const std::string& file, distribution::RelaySettings& out) {
   out.enabled = or_else(object, "enabled", false);
   out.compressed = or_else(object, "compressed", out.compressed);
-  out.tick = or_else(object, "tick_s", out.tick);
+  out.tick_interval = or_else(object, "tick_s", out.tick_interval);
   out.window_bytes = or_else<std::size_t>(object, "window_kb", out.window_bytes / 1024) * 1024;
   out.purge_lifetime = or_else(object, "purge_lifetime_s", out.purge_lifetime);
   out.purges_most = or_else(object, "purges_most", out.purges_most);
--- a/src/program/relay.cpp
+++ b/src/program/relay.cpp
@@ -73,7 +73,7 @@
     try {
       const OperatorFile fresh = load_operator(operator_path, kUsualMemory);
       if (fresh.relay.sources.empty()) throw BadConfig("relay/sources is empty");
-      actor.follow(fresh.relay.sources);
+      actor.set_sources(fresh.relay.sources);
       log.use(fresh.log_form, fresh.log_level);
     } catch (const std::exception& error) {
       log.warning("reload_failed", "relay: the operator's file stays as it is: {}", error.what());
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -38,7 +38,7 @@
   distribution::SubscriptionOptions options;
   if (!operator_file.change_stream.enabled) return options;
   options.compressed = operator_file.change_stream.compressed;
-  options.silent = distribution::kRelaySilent;
+  options.silence_timeout = distribution::kRelaySilenceTimeout;
   options.retry_longest = operator_file.change_stream.retry_longest;
   options.seed = config.seed;
   return options;
@@ -124,7 +124,7 @@
       const Config fresh = load_config(path_);
       const OperatorFile fresh_operator = load_operator(operator_path_, config_.memory);
       ++counters_.reloads;
-      changes_.moved(change_stream(fresh, fresh_operator));
+      changes_.set_endpoints(change_stream(fresh, fresh_operator));
       log_.use(fresh_operator.log_form, fresh_operator.log_level);
       if (flows_ && fresh_operator.flow_export.enabled) flows_->reload(fresh_operator.flow_export);
       std::string kept;
--- a/src/storage/spool.cpp
+++ b/src/storage/spool.cpp
@@ -36,7 +36,7 @@
 std::string value_of(const SpoolEntry& entry) {
   std::string value(kHead, '\0');
   auto* at = reinterpret_cast<unsigned char*>(value.data());
-  endian::store_big_u64(at, std::bit_cast<std::uint64_t>(entry.at));
+  endian::store_big_u64(at, std::bit_cast<std::uint64_t>(entry.written_at));
   endian::store_big_u32(at + 8, entry.flows);
   endian::store_big_u64(at + 12, entry.packets);
   endian::store_big_u64(at + 20, entry.octets);
@@ -48,7 +48,7 @@
   if (key.mv_size != 8 || value.mv_size < kHead) return false;
   const auto* at = static_cast<const unsigned char*>(value.mv_data);
   entry.number = endian::load_big_u64(static_cast<const unsigned char*>(key.mv_data));
-  entry.at = std::bit_cast<double>(endian::load_big_u64(at));
+  entry.written_at = std::bit_cast<double>(endian::load_big_u64(at));
   entry.flows = endian::load_big_u32(at + 8);
   entry.packets = endian::load_big_u64(at + 12);
   entry.octets = endian::load_big_u64(at + 20);
@@ -111,11 +111,11 @@
   int owner = -1;
   std::string path;
 
-  std::uint64_t end = 0;       // one past the last number that append() has acknowledged
-  bool commit_failed = false;  // LMDB's environment may be unusable since
-  bool reopened = false;       // and what the failed commits left is still to be looked for
-  Dropped drops_in_doubt;      // of failed commits
-  Dropped drops_found;         // of these, gone from the disk all the same: for the next caller
+  std::uint64_t end = 0;          // one past the last number that append() has acknowledged
+  bool commit_failed = false;     // LMDB's environment may be unusable since
+  bool reopened = false;          // and what the failed commits left is still to be looked for
+  DroppedEntries drops_in_doubt;  // of failed commits
+  DroppedEntries drops_found;     // of these, gone from the disk all the same: for the next caller
 
   ~Environment() {
     close_database();
@@ -136,7 +136,7 @@
       return false;
     }
   }
-  void commit(Transaction& transaction, const Dropped& gone) {
+  void commit(Transaction& transaction, const DroppedEntries& gone) {
     try {
       transaction.commit();
     } catch (const Failed&) {
@@ -171,7 +171,7 @@
     commit_failed = false;
   }
   void undo_failed_commits() {
-    Dropped found;
+    DroppedEntries found;
     Transaction transaction(raw, 0);
     {
       Cursor cursor(transaction, messages);
@@ -193,7 +193,7 @@
     drops_found.insert(drops_found.end(), found.begin(), found.end());
     drops_in_doubt.clear();
   }
-  void hand_over(const Dropped& gone, Dropped& dropped) {
+  void hand_over(const DroppedEntries& gone, DroppedEntries& dropped) {
     dropped.insert(dropped.end(), drops_found.begin(), drops_found.end());
     dropped.insert(dropped.end(), gone.begin(), gone.end());
     drops_found.clear();
@@ -255,7 +255,7 @@
     const std::size_t pages = stat.ms_branch_pages + stat.ms_leaf_pages + stat.ms_overflow_pages;
     return static_cast<double>(pages * stat.ms_psize) / static_cast<double>(map);
   }
-  void drop_first(Cursor& cursor, Dropped& dropped) const {
+  void drop_first(Cursor& cursor, DroppedEntries& dropped) const {
     MDB_val key{}, value{};
     if (!cursor.get(key, value, MDB_FIRST)) throw Failed{MDB_MAP_FULL};
     SpoolEntry entry;
@@ -309,8 +309,8 @@
   return nullptr;
 }
 
-bool Spool::append(const std::vector<SpoolEntry>& entries, Dropped& dropped, std::string& error) {
-  Dropped gone;
+bool Spool::append(const std::vector<SpoolEntry>& entries, DroppedEntries& dropped, std::string& error) {
+  DroppedEntries gone;
   const bool done = environment_->guarded(error, [&] {
     Transaction transaction(environment_->raw, 0);
     for (const SpoolEntry& entry : entries) {
@@ -348,8 +348,8 @@
   return entries;
 }
 
-bool Spool::trim(std::uint64_t before, double written_before, Dropped& dropped, std::string& error) {
-  Dropped gone;
+bool Spool::trim(std::uint64_t before, double written_before, DroppedEntries& dropped, std::string& error) {
+  DroppedEntries gone;
   const bool done = environment_->guarded(error, [&] {
     Transaction transaction(environment_->raw, 0);
     {
@@ -358,7 +358,7 @@
       while (cursor.get(key, value, MDB_FIRST)) {
         SpoolEntry entry;
         if (read_entry(key, value, entry, false)) {
-          if (entry.number >= before && entry.at >= written_before) break;
+          if (entry.number >= before && entry.written_at >= written_before) break;
           gone.push_back(std::move(entry));
         }
         cursor.remove();
--- a/src/storage/spool.hpp
+++ b/src/storage/spool.hpp
@@ -15,7 +15,7 @@
 
 struct SpoolEntry {
   std::uint64_t number = 0;
-  double at = 0;  // Unix time of its writing
+  double written_at = 0;  // Unix time of its writing
   std::uint32_t flows = 0;
   std::uint64_t packets = 0, octets = 0;
   std::uint32_t next_sequence = 0;
@@ -23,7 +23,7 @@
 };
 
 // What went to keep the bound, without its bytes.
-using Dropped = std::vector<SpoolEntry>;
+using DroppedEntries = std::vector<SpoolEntry>;
 
 class Spool {
  public:
@@ -40,11 +40,11 @@
   // All or none of them, on the disk when it returns. Numbers must go up. dropped gets the oldest, which go
   // to keep the bound. False with words in error: nothing has changed, and the same may be appended again. (A
   // kill before the next call may leave them on the disk after all.)
-  bool append(const std::vector<SpoolEntry>& entries, Dropped& dropped, std::string& error);
+  bool append(const std::vector<SpoolEntry>& entries, DroppedEntries& dropped, std::string& error);
   // From number on, until so many bytes are there; at least one if there is one.
   std::vector<SpoolEntry> read(std::uint64_t from, std::size_t bytes, std::string& error);
   // Drops those before number and those written before a time.
-  bool trim(std::uint64_t before, double written_before, Dropped& dropped, std::string& error);
+  bool trim(std::uint64_t before, double written_before, DroppedEntries& dropped, std::string& error);
   bool put_cursor(const std::string& reader, std::uint64_t next, std::string& error);
   std::map<std::string, std::uint64_t> cursors(std::string& error);
   // The last entry, without its bytes.
--- a/src/storage/worker.hpp
+++ b/src/storage/worker.hpp
@@ -27,7 +27,7 @@
   // job runs on the thread and must not throw; done runs in the loop afterwards. False: too much is waiting,
   // and neither will run.
   bool post(transport::Call job, transport::Call done);
-  std::size_t waiting() const { return out_; }  // posted and not yet done, the loop's part included
+  std::size_t pending() const { return out_; }  // posted and not yet done, the loop's part included
 
  private:
   struct Job {
--- a/tests/distribution/relay_actor_test.cpp
+++ b/tests/distribution/relay_actor_test.cpp
@@ -29,7 +29,7 @@
     limits.change_stream_retry_delay = 0.01;
     settings.listen = *transport::Address::parse("127.0.0.1:0");
     settings.sources = {{source.address, "source"}};
-    settings.tick = 0.005;
+    settings.tick_interval = 0.005;
     settings.stalled = 0.3;
     settings.source_silent = 15;
     settings.window_bytes = 4000;
--- a/tests/distribution/subscription_test.cpp
+++ b/tests/distribution/subscription_test.cpp
@@ -104,7 +104,8 @@
 TEST_CASE("the change stream: a relay that refuses, ends or is silent is left for the next one") {
   Slices site(0.03);
   StandInServer second(site.scheduler), third(site.scheduler);
-  site.list->moved({{site.changes.address, "first"}, {second.address, "second"}, {third.address, "third"}});
+  site.list->set_endpoints(
+      {{site.changes.address, "first"}, {second.address, "second"}, {third.address, "third"}});
   site.changes.connections[0]->send("HTTP/1.1 503 Source Lost\r\nContent-Length: 0\r\n\r\n");
   site.until([&] { return second.has_received("Last-Event-ID: 0"); });
   second.connections[0]->send("HTTP/1.1 200 OK\r\n\r\n" + Slices::events(1, 2));
--- a/tests/flow/exporter_disk_test.cpp
+++ b/tests/flow/exporter_disk_test.cpp
@@ -227,11 +227,11 @@
     {  // as if the clock of that run had been ahead, or behind, by the step
       std::string error;
       std::string damaged;
-      storage::Dropped dropped;
+      storage::DroppedEntries dropped;
       const auto spool = storage::Spool::open(folder.spool(), 4 << 20, error, damaged);
       REQUIRE(spool);
       auto entries = spool->read(0, 4 << 20, error);
-      for (auto& entry : entries) entry.at += step;
+      for (auto& entry : entries) entry.written_at += step;
       REQUIRE(spool->trim(entries.back().number + 1, 0, dropped, error));
       REQUIRE(spool->append(entries, dropped, error));
     }
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -472,7 +472,7 @@
   };
   site.says(0, "5", R"({"seq":5,"invalidate":{"bucket":17,"time":1}})", true);
   site.until([&] { return site.list->last() == 5; });
-  site.list->moved({{second.address, "second"}});  // the first stays open and silent
+  site.list->set_endpoints({{second.address, "second"}});  // the first stays open and silent
   asked(second, "5");
   site.until([&] { return site.changes.connections[0]->ended; });
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
@@ -481,9 +481,9 @@
                               "id: 6\ndata: {\"seq\":6,\"invalidate\":{\"bucket\":18,\"time\":1}}\n\n");
   site.until([&] { return site.list->last() == 6; });
   site.until([&] { return site.counters.purges == 2; });
-  site.list->moved({{second.address, "second"}});  // nothing new: the connection stays
-  site.list->moved({{unused_address(site.scheduler), "nobody"}});
-  site.list->moved({{third.address, "third"}});  // several at once: the last counts
+  site.list->set_endpoints({{second.address, "second"}});  // nothing new: the connection stays
+  site.list->set_endpoints({{unused_address(site.scheduler), "nobody"}});
+  site.list->set_endpoints({{third.address, "third"}});  // several at once: the last counts
   asked(third, "6");
   CHECK(second.connections.size() == 1);
 }
--- a/tests/storage/spool_faults_test.cpp
+++ b/tests/storage/spool_faults_test.cpp
@@ -37,7 +37,7 @@
 SpoolEntry entry(std::uint64_t number, std::size_t bytes) {
   SpoolEntry made;
   made.number = number;
-  made.at = static_cast<double>(number);
+  made.written_at = static_cast<double>(number);
   made.bytes = std::string(bytes, static_cast<char>('a' + number % 26));
   return made;
 }
@@ -73,7 +73,7 @@
   constexpr int kTriesMost = 20;
   Outcome outcome;
   std::string error;
-  Dropped dropped;
+  DroppedEntries dropped;
   const auto until_done = [&](const auto& operation) {
     for (int tries = 0; tries < kTriesMost; ++tries) {
       if (operation()) return;
@@ -110,7 +110,7 @@
   const int after_open = injection.steps();
   CHECK(after_open > 0);
   std::string error;
-  Dropped dropped;
+  DroppedEntries dropped;
   CHECK(spool->append({entry(1, 3000)}, dropped, error));
   CHECK(injection.steps() >= after_open + 3);  // pages, their sync, and the meta page
 }
@@ -152,7 +152,7 @@
     Folder folder;
     auto spool = open(folder, kSmall);
     std::string error;
-    Dropped dropped;
+    DroppedEntries dropped;
     std::uint64_t next = 1;
     // Up to the append before the first that has to drop entries.
     while (spool->full() < 0.74) REQUIRE(spool->append({entry(next++, 3000)}, dropped, error));
--- a/tests/storage/spool_test.cpp
+++ b/tests/storage/spool_test.cpp
@@ -30,7 +30,7 @@
 SpoolEntry entry(std::uint64_t number, std::size_t bytes = 1000) {
   SpoolEntry made;
   made.number = number;
-  made.at = 1000.0 + static_cast<double>(number);
+  made.written_at = 1000.0 + static_cast<double>(number);
   made.flows = 7, made.packets = 70, made.octets = 700 + number;
   made.next_sequence = static_cast<std::uint32_t>(number * 10);
   made.bytes = std::string(bytes, static_cast<char>('a' + number % 26));
@@ -65,7 +65,7 @@
 TEST_CASE("what is appended is read back in order, also after a start; cursors stay") {
   Folder folder;
   std::string error;
-  Dropped dropped;
+  DroppedEntries dropped;
   {
     auto spool = open(folder);
     for (std::uint64_t i = 1; i <= 100; i += 2)
@@ -92,7 +92,7 @@
   Folder folder;
   auto spool = open(folder, 1 << 20);
   std::string error;
-  Dropped dropped;
+  DroppedEntries dropped;
   for (std::uint64_t i = 1; i <= 5000; ++i) {
     REQUIRE_MESSAGE(spool->append({entry(i)}, dropped, error), error);
     CHECK(spool->full() < 0.8);
@@ -113,7 +113,7 @@
     const pid_t child = fork();
     if (child == 0) {
       std::string error, damaged;
-      Dropped dropped;
+      DroppedEntries dropped;
       auto spool = Spool::open(folder.path, 16 << 20, error, damaged);
       for (std::uint64_t i = 1; spool; i += 3) {
         if (!spool->append({entry(i), entry(i + 1), entry(i + 2)}, dropped, error)) _exit(1);
@@ -141,7 +141,7 @@
   Folder folder;
   auto spool = open(folder, 16 << 20);
   std::string error;
-  Dropped dropped;
+  DroppedEntries dropped;
   for (std::uint64_t i = 1; i <= 20; ++i) REQUIRE(spool->append({entry(i)}, dropped, error));
   rlimit before{};
   getrlimit(RLIMIT_FSIZE, &before);
@@ -165,7 +165,7 @@
   for (const bool cut : {false, true}) {
     Folder folder;
     std::string error, damaged;
-    Dropped dropped;
+    DroppedEntries dropped;
     {
       auto spool = open(folder);
       for (std::uint64_t i = 1; i <= 200; ++i) REQUIRE(spool->append({entry(i)}, dropped, error));
@@ -203,6 +203,6 @@
   scheduler.run();
   CHECK(trace == "01234567");
   CHECK(beside != std::this_thread::get_id());
-  CHECK(worker.waiting() == 0);
+  CHECK(worker.pending() == 0);
   scheduler.clear();
 }
