--- a/tests/flow/archive_test.cpp
+++ b/tests/flow/archive_test.cpp
@@ -88,7 +88,7 @@
               archive.commit(kNow + i * kPast);
             }
             REQUIRE(store_all(archive, kNow + kMessages * kPast));
-            hits = injection.hits();
+            hits = injection.failures();
           }
           CHECK(archive.counts().failed == 0);
           CHECK(archive.counts().messages + archive.counts().duplicates == kMessages);
@@ -144,7 +144,7 @@
   Archive archive(folder.path, bounds);
   constexpr std::uint32_t kMany = 200;
   {
-    const Injection full({folder.path, 1, disk_faults::kAlways, Effect::kFails, ENOSPC, 0});
+    const Injection full({folder.path, 1, disk_faults::kNeverReached, Effect::kFails, ENOSPC, 0});
     for (std::uint32_t i = 0; i < kMany; ++i) feed(archive, i, kNow);
     archive.commit(kNow);
     CHECK(archive.full());
--- a/tests/flow/exporter_disk_test.cpp
+++ b/tests/flow/exporter_disk_test.cpp
@@ -149,9 +149,10 @@
     run.make_flows(10);
     REQUIRE(run.until_all_on_disk());
     {
-      const Injection full({folder.spool(), 1, disk_faults::kAlways, disk_faults::Effect::kFails, ENOSPC, 0});
+      const Injection full(
+          {folder.spool(), 1, disk_faults::kNeverReached, disk_faults::Effect::kFails, ENOSPC, 0});
       run.make_flows(30);
-      REQUIRE(run.until([&] { return run.counters.spool_failed > 2 && full.hits() > 2; }));
+      REQUIRE(run.until([&] { return run.counters.spool_failed > 2 && full.failures() > 2; }));
     }
     REQUIRE(run.until_all_on_disk());
     CHECK(run.counters.flow_records_dropped == 0);
@@ -164,19 +165,20 @@
 TEST_CASE("a disk that fails is tried again after pauses that double, not at every look") {
   Folder folder;
   Run run(folder, somewhere());
-  const Injection full({folder.spool(), 1, disk_faults::kAlways, disk_faults::Effect::kFails, EIO, 0});
+  const Injection full({folder.spool(), 1, disk_faults::kNeverReached, disk_faults::Effect::kFails, EIO, 0});
   const Seconds start = Scheduler::now();
   run.make_flows(3);
   // Each try ends with a failed append and a failed cursor: 7 failures take four tries, with pauses of 0.2,
   // 0.4 and 0.8 s between them. The exporter looks each 5 ms.
-  REQUIRE(run.until([&] { return full.hits() >= 7; }));
+  REQUIRE(run.until([&] { return full.failures() >= 7; }));
   CHECK(Scheduler::now() - start > 1.3);
 }
 
 TEST_CASE("ended while its disk fails and its collector is away: what is lost is counted") {
   Folder folder;
   Run run(folder, somewhere());
-  const Injection full({folder.spool(), 1, disk_faults::kAlways, disk_faults::Effect::kFails, ENOSPC, 0});
+  const Injection full(
+      {folder.spool(), 1, disk_faults::kNeverReached, disk_faults::Effect::kFails, ENOSPC, 0});
   run.make_flows(12);
   REQUIRE(run.until([&] { return run.counters.spool_failed > 0; }));
   bool ended = false;
@@ -266,17 +268,17 @@
   flows_tool::Collector collector(next.scheduler, archive, 32473, 16);
   {
     disk_faults::Script script;
-    script.folder = folder.spool();
+    script.directory = folder.spool();
     script.after_first_sync = true;
     script.error_number = EIO;
-    script.fails_until = disk_faults::kAlways;
+    script.fails_until = disk_faults::kNeverReached;
     const Injection failing(script);
     next.exporter->request_class("a new name");
-    REQUIRE(next.until([&] { return failing.hits() > 0; }));
+    REQUIRE(next.until([&] { return failing.failures() > 0; }));
     collector.listen_tcp(collector_at);
     REQUIRE(next.until([&] { return next.counters.collectors_up > 0; }));
-    const int before = failing.hits();
-    REQUIRE(next.until([&] { return failing.hits() > before + 3; }));
+    const int before = failing.failures();
+    REQUIRE(next.until([&] { return failing.failures() > before + 3; }));
   }
   CHECK(next.until([&] {
     archive.commit(transport::Clock::unix_now());
@@ -299,7 +301,7 @@
   const auto commit = [&] { archive.commit(transport::Clock::unix_now()); };
   {
     const Injection full(
-        {folder.path + "/archive", 1, disk_faults::kAlways, disk_faults::Effect::kFails, ENOSPC, 0});
+        {folder.path + "/archive", 1, disk_faults::kNeverReached, disk_faults::Effect::kFails, ENOSPC, 0});
     run.make_flows(100);
     REQUIRE(run.until([&] { return archive.full(); }));
     run.make_flows(100);
--- a/tests/storage/disk_faults.cpp
+++ b/tests/storage/disk_faults.cpp
@@ -33,7 +33,7 @@
 // What is to become of one call.
 enum class Verdict { kPass, kFail, kHalf, kDoThenFail };
 
-bool below_folder(const std::string& path) { return path.starts_with(state().script.folder + "/"); }
+bool below_folder(const std::string& path) { return path.starts_with(state().script.directory + "/"); }
 
 bool descriptor_below_folder(int descriptor) {
   char path[4096];
@@ -73,7 +73,7 @@
 void note_sync() {
   State& held = state();
   const std::lock_guard lock(held.mutex);
-  if (!held.script.after_first_sync || held.script.first_step != kAlways) return;
+  if (!held.script.after_first_sync || held.script.first_step != kNeverReached) return;
   held.script.first_step = held.steps + 1;
   held.script.last_step = held.steps + 1;
 }
@@ -132,7 +132,7 @@
   return state().steps;
 }
 
-int Injection::hits() const {
+int Injection::failures() const {
   const std::lock_guard lock(state().mutex);
   return state().hits;
 }
--- a/tests/storage/disk_faults.hpp
+++ b/tests/storage/disk_faults.hpp
@@ -15,12 +15,12 @@
   kKills,         // the process ends at this call, before its work
 };
 
-constexpr int kAlways = 1 << 30;
+constexpr int kNeverReached = 1 << 30;
 
 struct Script {
-  std::string folder;
+  std::string directory;
   int first_step =
-      kAlways;  // calls are counted from 1; those from the first to the last step have the effect
+      kNeverReached;  // calls are counted from 1; those from the first to the last step have the effect
   int last_step = 0;
   Effect effect = Effect::kFails;
   int error_number = 0;
@@ -37,8 +37,8 @@
   ~Injection();
   Injection(const Injection&) = delete;
   Injection& operator=(const Injection&) = delete;
-  int steps() const;  // calls so far
-  int hits() const;   // of these, calls that the script had fail
+  int steps() const;     // calls so far
+  int failures() const;  // of these, calls that the script had fail
 };
 
 }  // namespace disk_faults
--- a/tests/storage/spool_faults_test.cpp
+++ b/tests/storage/spool_faults_test.cpp
@@ -105,7 +105,7 @@
 
 TEST_CASE("the calls of LMDB go through the injection") {
   Folder folder;
-  const Injection injection({.folder = folder.path});
+  const Injection injection({.directory = folder.path});
   auto spool = open(folder);
   const int after_open = injection.steps();
   CHECK(after_open > 0);
@@ -131,7 +131,7 @@
           {
             const Injection injection({folder.path, step, step, effect, error_number, step + lasts - 1});
             outcome = work(*spool, [](std::uint64_t) {});
-            hits = injection.hits();
+            hits = injection.failures();
           }
           REQUIRE_FALSE(outcome.gave_up);
           CHECK(outcome.acknowledged.size() == kBatches * kInBatch);
@@ -162,7 +162,7 @@
         for (int tries = 0; !spool->append({entry(next, 3000)}, dropped, error); ++tries) REQUIRE(tries < 20);
         ++next;
       }
-      hits = injection.hits();
+      hits = injection.failures();
     }
     std::set<std::uint64_t> all;
     for (const SpoolEntry& one : dropped) CHECK(all.insert(one.number).second);
