--- a/src/distribution/change.cpp
+++ b/src/distribution/change.cpp
@@ -8,47 +8,48 @@
 
 namespace {
 
-NodeList read_nodes(const protocol::Json& fleet) {
+NodeList parse_nodes(const protocol::Json& fleet) {
   NodeList nodes;
-  nodes.whole = fleet["full"].truth();
+  nodes.complete = fleet["full"].truth();
   nodes.version = fleet["version"].text();
   for (const protocol::Json& entry : fleet["servers"].items())
     nodes.entries.push_back({entry["id"].text(), protocol::to_text(entry), entry["state"].text() == "left"});
   return nodes;
 }
 
-std::optional<Purge> read_purge(const protocol::Json& invalidate) {
+std::optional<Purge> parse_purge(const protocol::Json& invalidate) {
   Purge purge;
   purge.unix_ms = invalidate["time"].number(0);
   if (const auto group = invalidate["bucket"].whole()) {
-    purge.subject = {PurgeSubject::Kind::kGroup, static_cast<std::uint64_t>(*group)};
+    purge.target = {PurgeTarget::Kind::kGroup, static_cast<std::uint64_t>(*group)};
     return purge;
   }
   ObjectId object;
   if (!protocol::read_object(invalidate["object"].text(), object)) return {};
-  purge.subject = {PurgeSubject::Kind::kObject, object.value};
+  purge.target = {PurgeTarget::Kind::kObject, object.value};
   return purge;
 }
 
 }  // namespace
 
-Change read_change(const protocol::Json& change) {
-  Change read;
+Change parse_change(const protocol::Json& change) {
+  Change parsed;
   for (const auto& [name, value] : change.members()) {
     if (name == "seq") continue;
-    if (name == "fleet") read.nodes = read_nodes(value);
-    if (name == "invalidate") read.purge = read_purge(value);
-    read.members +=
-        fmt::format("{}\"{}\":{}", read.members.empty() ? "" : ",", name, protocol::to_text(value));
+    if (name == "fleet") parsed.nodes = parse_nodes(value);
+    if (name == "invalidate") parsed.purge = parse_purge(value);
+    parsed.json_members +=
+        fmt::format("{}\"{}\":{}", parsed.json_members.empty() ? "" : ",", name, protocol::to_text(value));
   }
-  return read;
+  return parsed;
 }
 
-std::string encode_event(long long number, const std::string& members) {
-  return fmt::format("id: {0}\ndata: {{\"seq\":{0}{1}{2}}}\n\n", number, members.empty() ? "" : ",", members);
+std::string encode_event(long long number, const std::string& json_members) {
+  return fmt::format("id: {0}\ndata: {{\"seq\":{0}{1}{2}}}\n\n", number, json_members.empty() ? "" : ",",
+                     json_members);
 }
 
-std::string whole_list_members(const std::string& version, const std::vector<std::string>& entries) {
+std::string complete_list_members(const std::string& version, const std::vector<std::string>& entries) {
   return fmt::format(R"("fleet":{{"version":{},"full":true,"servers":[{}]}})",
                      version.empty() ? "0" : version, fmt::join(entries, ","));
 }
--- a/src/distribution/change.hpp
+++ b/src/distribution/change.hpp
@@ -1,4 +1,5 @@
-// A change of the stream as a relay keeps it: what it says of nodes and of purges, and its text. Pure.
+// A change of the change stream as a relay stores it: its node list update, its purge, and its JSON text.
+// Pure data and functions; no I/O.
 #pragma once
 
 #include <compare>
@@ -11,42 +12,42 @@
 
 namespace hareramp::distribution {
 
-// What a purge names: an object by its digits, or a group by its number.
-struct PurgeSubject {
+// What a purge invalidates: one object, by its identifier, or a group of objects, by its number.
+struct PurgeTarget {
   enum class Kind { kObject, kGroup };
   Kind kind = Kind::kObject;
   std::uint64_t id = 0;
-  auto operator<=>(const PurgeSubject&) const = default;
+  auto operator<=>(const PurgeTarget&) const = default;
 };
 
 struct Purge {
-  PurgeSubject subject;
+  PurgeTarget target;
   double unix_ms = 0;  // when it was issued, by the issuer's clock
 };
 
 struct NodeEntry {
   std::string id;
-  std::string text;   // the entry as JSON
-  bool gone = false;  // left for good
+  std::string json;      // the whole entry
+  bool removed = false;  // the node has left the fleet permanently
 };
 
 struct NodeList {
-  bool whole = false;
-  std::string version;  // as JSON; empty where there is none
+  bool complete = false;  // replaces the previous list; otherwise it updates single entries
+  std::string version;    // as JSON; empty if the change carries none
   std::vector<NodeEntry> entries;
 };
 
 struct Change {
   std::optional<NodeList> nodes;
   std::optional<Purge> purge;
-  std::string members;  // all but the number, as in a JSON object, without its braces
+  std::string json_members;  // all members of the JSON object except "seq", without the braces
 };
 
-Change read_change(const protocol::Json& change);
+Change parse_change(const protocol::Json& change);
 
-// A server-sent event with that number.
-std::string encode_event(long long number, const std::string& members);
-// The members of a whole list of these entries.
-std::string whole_list_members(const std::string& version, const std::vector<std::string>& entries);
+// Encodes a change as a server-sent event with the given number.
+std::string encode_event(long long number, const std::string& json_members);
+// The JSON members of a change that carries the complete node list with these entries.
+std::string complete_list_members(const std::string& version, const std::vector<std::string>& entries);
 
 }  // namespace hareramp::distribution
--- a/src/distribution/change_receiver.hpp
+++ b/src/distribution/change_receiver.hpp
@@ -1,5 +1,6 @@
-// Whoever the change stream is read for. The reader waits for the answer to one slice of changes before it
-// reads the next, so a receiver that is slow makes the source wait and nothing pile up.
+// The interface that a subscription to the change stream delivers to. The subscription waits until the
+// receiver has answered for one batch of changes before it reads the next. A slow receiver therefore makes
+// the source wait, and no changes pile up in this process.
 #pragma once
 
 #include <functional>
@@ -10,19 +11,20 @@
 namespace hareramp::distribution {
 
 struct NumberedChange {
-  long long number = 0;  // its place in the stream; 0: it has none
+  long long number = 0;  // position in the stream; 0: the event had no number
   protocol::Json change;
 };
 
 class ChangeReceiver {
  public:
   virtual ~ChangeReceiver() = default;
-  // A change that was known before the stream was read. Only posts.
+  // A change that was known before the stream was read. Only posts to a mailbox; never processes it directly.
   virtual void known_change_arrived(protocol::Json change) = 0;
-  // Changes of the stream, in order. Only posts; done is called once, with whether all of them were taken in:
-  // false has them read again. more_waits: the stream had more to read just then.
-  virtual void changes_arrived(std::vector<NumberedChange> changes, bool more_waits,
-                               std::function<void(bool taken)> done) = 0;
+  // Changes of the stream, in order. Only posts to a mailbox; never processes them directly. done must be
+  // called exactly once, with true if all changes were processed; with false they are read again.
+  // more_available: the stream had more data to read at that moment.
+  virtual void changes_arrived(std::vector<NumberedChange> changes, bool more_available,
+                               std::function<void(bool accepted)> done) = 0;
 };
 
 }  // namespace hareramp::distribution
--- a/src/distribution/epoch.hpp
+++ b/src/distribution/epoch.hpp
@@ -1,5 +1,6 @@
-// Numbers of events over the lives of a source. A source that begins anew counts from 1 again; what relays
-// tell carries, above the source's number, how often that has happened, so that numbers always rise.
+// Event numbers across restarts of a source. A restarted source counts from 1 again. A relay therefore puts
+// an epoch, the number of restarts so far, above the bits of the source's own number, so that the numbers
+// which a relay sends always rise.
 #pragma once
 
 namespace hareramp::distribution {
@@ -8,7 +9,8 @@
 constexpr long long kSourceNumberMask = (1LL << kEpochShift) - 1;
 
 constexpr long long epoch_of(long long number) { return number >> kEpochShift; }
-constexpr long long numbered(long long epoch, long long source_number) {
+// Replaces any epoch that the number already has.
+constexpr long long number_in_epoch(long long epoch, long long source_number) {
   return (epoch << kEpochShift) | (source_number & kSourceNumberMask);
 }
 
--- a/src/distribution/relay.hpp
+++ b/src/distribution/relay.hpp
@@ -1,11 +1,13 @@
-// The decisions of a relay of the change stream: step(now, event) returns what is to be done, and nothing
-// else happens. No clock, no sockets. An event is kept and encoded once; a subscriber is a cursor. Memory is
-// bounded by the window, the list of nodes, the live purges, and one piece a subscriber.
+// The core of a relay of the change stream, without clock and sockets: step(now, event) returns the effects
+// to execute and has no other side effects. An event is stored and encoded once for all subscribers; a
+// subscriber is a cursor into the stream. Memory is bounded by the window, the node list, the live purges,
+// and one chunk per subscriber.
 //
-// Promised to a subscriber while it is connected: every change behind its cursor, once, in order, under
-// rising numbers; or, where the window no longer reaches its cursor, all that still matters of them
-// (snapshot.hpp) under numbers behind the cursor. Comments are sent only while the source is heard, so that a
-// subscriber of a relay that is cut off from the source hears silence and goes to another.
+// Guarantee to a connected subscriber: it gets every change after its cursor, once, in order, under rising
+// numbers. If the window no longer covers its cursor it gets instead all of these changes that still apply
+// (snapshot.hpp), under numbers above the cursor. Comments are sent only while data arrives from the source,
+// so that a subscriber of a relay that is cut off from the source receives nothing and switches to another
+// relay.
 #pragma once
 
 #include <cstddef>
@@ -21,52 +23,53 @@
 
 namespace hareramp::distribution {
 
-// --- what happens ---
+// --- events ---
 struct ChangesArrived {  // from the source, in order
   std::vector<NumberedChange> changes;
-  bool more_waits = false;  // the source had more to read just then
+  bool more_available = false;  // the source had more data to read at that moment
 };
-struct SubscriberArrived {
+struct SubscriberConnected {
   SubscriberId id = 0;
   long long cursor = 0;
   bool compressed = false;
 };
-struct PieceTaken {  // the subscriber's socket has taken all it was given
+struct WriteCompleted {  // the last chunk has been written completely to the subscriber's socket
   SubscriberId id = 0;
 };
-struct SubscriberLeft {
+struct SubscriberDisconnected {
   SubscriberId id = 0;
 };
 struct Ticked {
   bool source_alive = false;
 };
-using RelayEvent = std::variant<ChangesArrived, SubscriberArrived, PieceTaken, SubscriberLeft, Ticked>;
+using RelayEvent =
+    std::variant<ChangesArrived, SubscriberConnected, WriteCompleted, SubscriberDisconnected, Ticked>;
 
-// --- what is to be done ---
+// --- effects ---
 struct Accept {
   SubscriberId id = 0;
 };
 enum class Refusal { kNoListYet, kSourceLost, kFull, kBehind, kBadCursor };
 struct Refuse {
   SubscriberId id = 0;
-  Refusal why = Refusal::kFull;
+  Refusal reason = Refusal::kFull;
 };
-struct Give {
+struct Send {
   SubscriberId id = 0;
   SharedBytes bytes;
 };
-struct Close {  // it has taken nothing for too long
+struct Close {  // it has read nothing for too long
   SubscriberId id = 0;
 };
-using RelayEffect = std::variant<Accept, Refuse, Give, Close>;
+using RelayEffect = std::variant<Accept, Refuse, Send, Close>;
 
 struct RelayCounts {
-  std::uint64_t changes = 0;    // taken in
-  std::uint64_t batches = 0;    // encoded
-  std::uint64_t snapshots = 0;  // given
-  std::uint64_t restarts = 0;   // of the source, as seen here
+  std::uint64_t changes = 0;    // received from the source
+  std::uint64_t batches = 0;    // encoded for all subscribers
+  std::uint64_t snapshots = 0;  // sent
+  std::uint64_t restarts = 0;   // of the source, as detected by this relay
   std::uint64_t refused = 0;    // subscribers
-  std::uint64_t stalled = 0;    // subscribers closed for taking nothing
+  std::uint64_t stalled = 0;    // subscribers closed because they read nothing
 };
 
 class Relay {
@@ -75,24 +78,24 @@
 
   std::vector<RelayEffect> step(transport::Seconds now, const RelayEvent& event);
 
-  // False: reading from the source must wait, until live purges have expired.
-  bool has_room() const { return !snapshot_.full(); }
+  // If false, reading from the source must pause until live purges have expired.
+  bool can_accept_changes() const { return !snapshot_.full(); }
   const RelayCounts& counts() const { return counts_; }
   std::size_t subscribers() const { return subscribers_.count(); }
   long long last() const { return last_; }
   std::size_t window_bytes() const { return window_.bytes(); }
-  std::size_t live_purges() const { return snapshot_.purges(); }
+  std::size_t live_purges() const { return snapshot_.purge_count(); }
 
  private:
   using Effects = std::vector<RelayEffect>;
-  void take(transport::Seconds now, const ChangesArrived& arrived);
-  long long number_of(long long source_number);
-  void admit(transport::Seconds now, const SubscriberArrived& arrived, Effects& effects);
+  void apply_changes(transport::Seconds now, const ChangesArrived& arrived);
+  long long assign_number(long long source_number);
+  void admit(transport::Seconds now, const SubscriberConnected& connected, Effects& effects);
   void tick(transport::Seconds now, bool source_alive, Effects& effects);
-  bool give_next(transport::Seconds now, SubscriberId id, Subscriber& subscriber, Effects& effects);
-  void give(transport::Seconds now, SubscriberId id, Subscriber& subscriber, const EncodedPiece& piece,
+  bool send_next(transport::Seconds now, SubscriberId id, Subscriber& subscriber, Effects& effects);
+  void send(transport::Seconds now, SubscriberId id, Subscriber& subscriber, const EncodedChunk& chunk,
             Effects& effects);
-  EncodedPiece snapshot_after(long long cursor);
+  EncodedChunk snapshot_after(long long cursor);
   bool adopt_epoch(transport::Seconds now, long long epoch);
 
   RelaySettings settings_;
@@ -100,13 +103,13 @@
   Snapshot snapshot_;
   Subscribers subscribers_;
   RelayCounts counts_;
-  EncodedPiece comment_;
-  EncodedPiece whole_snapshot_;  // for every cursor older than all of it; empty: to be made
+  EncodedChunk comment_;
+  EncodedChunk full_snapshot_;  // cached for cursors older than all of its events; empty: not encoded yet
   long long epoch_ = 0;
-  long long last_ = 0;  // number of the last event taken in
+  long long last_ = 0;  // number of the last event received
   bool source_alive_ = false;
-  bool behind_ = false;  // more waits at the source
-  transport::Seconds adopted_at_ = -transport::kNever;
+  bool source_has_more_ = false;  // the source had more data to read after the last batch
+  transport::Seconds epoch_adopted_at_ = -transport::kNever;
   std::size_t joins_left_ = 0;  // in this tick
 };
 
--- a/src/distribution/relay_actor.cpp
+++ b/src/distribution/relay_actor.cpp
@@ -20,11 +20,11 @@
 
 namespace {
 
-constexpr std::size_t kReadRoom = 2048;         // a subscriber sends one request, a few hundred bytes
-constexpr std::size_t kUnsentMost = 64 * 1024;  // bytes that wait in the kernel for a subscriber
-constexpr int kAcceptBacklog = 4096;            // a region that comes back at once
+constexpr std::size_t kReadBufferBytes = 2048;      // a subscriber sends one request of a few hundred bytes
+constexpr std::size_t kMaxUnsentBytes = 64 * 1024;  // unsent bytes in the kernel, per subscriber
+constexpr int kAcceptBacklog = 4096;                // all subscribers of a region may reconnect at once
 
-// What a subscriber asks for.
+// The HTTP request of a subscriber.
 struct SubscriptionRequest : protocol::HttpHandler {
   std::string method, target;
   long long cursor = 0;
@@ -43,14 +43,15 @@
   void body(std::string_view) override {}
 };
 
-// Guards against a subscriber whose machine has vanished: nothing else would end its connection for minutes.
-void bound_unacknowledged(const Socket& socket, Seconds longest) {
-  const auto milliseconds = static_cast<unsigned>(longest * 1000);
+// Guards against a subscriber whose machine has disappeared without closing: without a limit on
+// unacknowledged data its connection would stay open for minutes.
+void limit_unacknowledged_time(const Socket& socket, Seconds timeout) {
+  const auto milliseconds = static_cast<unsigned>(timeout * 1000);
   setsockopt(socket.descriptor(), IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof milliseconds);
 }
 
-const char* words_of(Refusal why) {
-  switch (why) {
+const char* status_text(Refusal reason) {
+  switch (reason) {
     case Refusal::kNoListYet:
       return "503 No Node List Yet";
     case Refusal::kSourceLost:
@@ -65,7 +66,7 @@
   return "503 Unavailable";
 }
 
-std::string plain_answer(const std::string& status) {
+std::string empty_response(const std::string& status) {
   return "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 }
 
@@ -73,7 +74,8 @@
 
 class RelayActor::Session {
  public:
-  Session(SubscriberId given, Socket taken) : id(given), socket(std::move(taken)) {}
+  Session(SubscriberId session_id, Socket session_socket)
+      : id(session_id), socket(std::move(session_socket)) {}
   const SubscriberId id;
   Socket socket;
   bool compressed = false;
@@ -90,14 +92,14 @@
       subscription_(scheduler, limits, counters, log, settings.sources, 0, *this,
                     {.compressed = settings.compressed,
                      .restarts_followed = true,
-                     .retry_longest = settings.source_silent,
+                     .retry_longest = settings.source_silence_timeout,
                      .seed = seed}),
       listener_(scheduler, settings.listen, kAcceptBacklog) {}
 
 RelayActor::~RelayActor() = default;
 
 void RelayActor::start() {
-  scheduler_.spawn(live(*this));
+  scheduler_.spawn(run_mailbox(*this));
   scheduler_.spawn(accept_subscribers(*this));
   scheduler_.spawn(tick(*this));
   subscription_.start({});
@@ -108,7 +110,7 @@
   for (const auto& [id, session] : sessions_) session->socket.close();
 }
 
-Task<> RelayActor::live(RelayActor& self) { co_await self.mailbox_.serve(); }
+Task<> RelayActor::run_mailbox(RelayActor& self) { co_await self.mailbox_.serve(); }
 
 Task<> RelayActor::accept_subscribers(RelayActor& self) {
   for (;;) {
@@ -118,8 +120,8 @@
       co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_retry_delay);
       continue;
     }
-    accepted.socket.bound_unsent(kUnsentMost);
-    bound_unacknowledged(accepted.socket, self.settings_.stalled);
+    accepted.socket.bound_unsent(kMaxUnsentBytes);
+    limit_unacknowledged_time(accepted.socket, self.settings_.stall_timeout);
     self.scheduler_.spawn(
         serve(self, std::make_shared<Session>(++self.last_id_, std::move(accepted.socket))));
   }
@@ -129,25 +131,26 @@
   for (;;) {
     co_await self.scheduler_.sleep_until(Scheduler::now() + self.settings_.tick_interval);
     self.post(Ticked{self.source_alive()});
-    if (!self.done_later_ || !self.relay_.has_room()) continue;
-    std::exchange(self.done_later_, {})(true);
+    if (!self.pending_done_ || !self.relay_.can_accept_changes()) continue;
+    std::exchange(self.pending_done_, {})(true);
   }
 }
 
 bool RelayActor::source_alive() const {
-  return Scheduler::now() - subscription_.heard_at() <= settings_.source_silent;
+  return Scheduler::now() - subscription_.last_received_at() <= settings_.source_silence_timeout;
 }
 
-// One connection: its request, and then only the look for its end; what it is given comes from carry_out.
-// Whoever sends more than one request is no subscriber and is closed.
+// Reads the request of one connection and then only waits for the connection's end; the data for the
+// subscriber is written by execute(). A connection that sends anything after its request is not a
+// subscriber's and is closed.
 Task<> RelayActor::serve(RelayActor& self, SessionPointer session) {
-  const Seconds until = Scheduler::now() + self.limits_.request_read_timeout;
+  const Seconds deadline = Scheduler::now() + self.limits_.request_read_timeout;
   protocol::HttpParser parser(protocol::HttpParser::Message::kRequest, {self.limits_.max_head, 0});
   SubscriptionRequest request;
-  transport::Buffer in(kReadRoom);
+  transport::Buffer in(kReadBufferBytes);
   auto step = protocol::HttpParser::Step::kMore;
   while (step == protocol::HttpParser::Step::kMore) {
-    const Io io = co_await session->socket.read(in, kReadRoom, until);
+    const Io io = co_await session->socket.read(in, kReadBufferBytes, deadline);
     if (!io.ok()) co_return;
     do {
       std::size_t used = 0;
@@ -155,38 +158,38 @@
       in.consume(used);
     } while (step == protocol::HttpParser::Step::kHead);
   }
-  const bool asks_health = request.target == "/_health";
+  const bool is_health_check = request.target == "/_health";
   if (step != protocol::HttpParser::Step::kDone || request.method != "GET" ||
-      (request.target != "/changes" && !asks_health)) {
-    session->socket.write_now(plain_answer("404 Not Found"));
+      (request.target != "/changes" && !is_health_check)) {
+    session->socket.write_now(empty_response("404 Not Found"));
     co_return;
   }
-  if (asks_health) {
-    session->socket.write_now(plain_answer("200 OK"));
+  if (is_health_check) {
+    session->socket.write_now(empty_response("200 OK"));
     co_return;
   }
   session->compressed = request.compressed;
   self.sessions_[session->id] = session;
-  self.post(SubscriberArrived{session->id, request.cursor, request.compressed});
-  co_await session->socket.read(in, kReadRoom, transport::kNever);
+  self.post(SubscriberConnected{session->id, request.cursor, request.compressed});
+  co_await session->socket.read(in, kReadBufferBytes, transport::kNever);
   session->socket.close();
   self.sessions_.erase(session->id);
-  self.post(SubscriberLeft{session->id});
+  self.post(SubscriberDisconnected{session->id});
 }
 
-void RelayActor::known_change_arrived(protocol::Json) {}  // a relay knows nothing before it has asked
+void RelayActor::known_change_arrived(protocol::Json) {}  // a relay has no changes from before the stream
 
-void RelayActor::changes_arrived(std::vector<NumberedChange> changes, bool more_waits,
-                                 std::function<void(bool taken)> done) {
-  mailbox_.post([this, changes = std::move(changes), more_waits, done = std::move(done)]() mutable {
+void RelayActor::changes_arrived(std::vector<NumberedChange> changes, bool more_available,
+                                 std::function<void(bool accepted)> done) {
+  mailbox_.post([this, changes = std::move(changes), more_available, done = std::move(done)]() mutable {
     try {
-      step(ChangesArrived{std::move(changes), more_waits});
+      step(ChangesArrived{std::move(changes), more_available});
     } catch (...) {
       done(false);
       throw;
     }
-    if (relay_.has_room()) return done(true);
-    done_later_ = std::move(done);
+    if (relay_.can_accept_changes()) return done(true);
+    pending_done_ = std::move(done);
   });
 }
 
@@ -196,10 +199,10 @@
 
 void RelayActor::step(const RelayEvent& event) {
   for (const RelayEffect& effect : relay_.step(Scheduler::now(), event))
-    std::visit([this](const auto& one) { carry_out(one); }, effect);
+    std::visit([this](const auto& typed_effect) { execute(typed_effect); }, effect);
 }
 
-void RelayActor::carry_out(const Accept& accept) {
+void RelayActor::execute(const Accept& accept) {
   const auto found = sessions_.find(accept.id);
   if (found == sessions_.end()) return;
   found->second->socket.write_now(
@@ -207,38 +210,40 @@
       (found->second->compressed ? "Content-Encoding: gzip\r\n" : "") + "Connection: close\r\n\r\n");
 }
 
-void RelayActor::carry_out(const Refuse& refuse) {
+void RelayActor::execute(const Refuse& refuse) {
   const auto found = sessions_.find(refuse.id);
   if (found == sessions_.end()) return;
-  found->second->socket.write_now(plain_answer(words_of(refuse.why)));
+  found->second->socket.write_now(empty_response(status_text(refuse.reason)));
   found->second->socket.finish();
   scheduler_.at(Scheduler::now() + limits_.linger_timeout,
                 [session = found->second] { session->socket.close(); });
 }
 
-void RelayActor::carry_out(const Give& give) {
-  const auto found = sessions_.find(give.id);
+void RelayActor::execute(const Send& send) {
+  const auto found = sessions_.find(send.id);
   if (found == sessions_.end()) return;
-  const Io io = found->second->socket.write_now(*give.bytes);
+  const Io io = found->second->socket.write_now(*send.bytes);
   ++writes_;
   bytes_given_ += io.bytes;
-  if (io.ok()) return post(PieceTaken{give.id});
-  if (io.end == IoEnd::kTimedOut) scheduler_.spawn(write_rest(*this, found->second, give.bytes, io.bytes));
+  if (io.ok()) return post(WriteCompleted{send.id});
+  if (io.end == IoEnd::kTimedOut)
+    scheduler_.spawn(write_remaining(*this, found->second, send.bytes, io.bytes));
 }
 
-Task<> RelayActor::write_rest(RelayActor& self, SessionPointer session, SharedBytes bytes, std::size_t from) {
-  const std::string_view rest = std::string_view(*bytes).substr(from);
-  const Io io = co_await session->socket.write(rest, Scheduler::now() + 2 * self.settings_.stalled);
+Task<> RelayActor::write_remaining(RelayActor& self, SessionPointer session, SharedBytes bytes,
+                                   std::size_t offset) {
+  const std::string_view rest = std::string_view(*bytes).substr(offset);
+  const Io io = co_await session->socket.write(rest, Scheduler::now() + 2 * self.settings_.stall_timeout);
   ++self.writes_;
   self.bytes_given_ += io.bytes;
-  if (io.ok()) self.post(PieceTaken{session->id});
+  if (io.ok()) self.post(WriteCompleted{session->id});
 }
 
-void RelayActor::carry_out(const Close& close) {
+void RelayActor::execute(const Close& close) {
   const auto found = sessions_.find(close.id);
   if (found == sessions_.end()) return;
-  log_.warning("subscriber_stalled", "relay: a subscriber took nothing for {} s and is closed",
-               settings_.stalled);
+  log_.warning("subscriber_stalled", "relay: closing a subscriber that has read nothing for {} s",
+               settings_.stall_timeout);
   found->second->socket.abort();
 }
 
--- a/src/distribution/relay_actor.hpp
+++ b/src/distribution/relay_actor.hpp
@@ -1,5 +1,6 @@
-// The actor round a relay's core: follows the source, takes subscribers' connections, and carries out what
-// the core returns. One thread; a subscriber that does not read holds nobody up. It decides nothing itself.
+// The actor around a relay's core: subscribes to the source, accepts subscribers' connections, and executes
+// the effects that the core returns. All decisions are the core's. Single-threaded; a subscriber that does
+// not read delays no other.
 #pragma once
 
 #include <cstdint>
@@ -21,41 +22,41 @@
 
 class RelayActor : public ChangeReceiver {
  public:
-  // Listens at once; throws std::system_error where it can't.
+  // Starts to listen; throws std::system_error if that fails.
   RelayActor(transport::Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
              const RelaySettings& settings, std::uint64_t seed);
   ~RelayActor() override;
 
   void start();
   transport::Address address() const { return listener_.address(); }
-  // Nobody is served any more, and every subscriber is closed: it goes on at another relay.
+  // Stops listening and closes every subscriber's connection; subscribers then reconnect to another relay.
   void close();
   void set_sources(std::vector<Endpoint> sources) { subscription_.set_endpoints(std::move(sources)); }
   const Relay& relay() const { return relay_; }
   std::uint64_t bytes_given() const { return bytes_given_; }
   std::uint64_t writes() const { return writes_; }
 
-  // From here on each call only posts.
+  // ChangeReceiver: both only post to the mailbox.
   void known_change_arrived(protocol::Json change) override;
-  void changes_arrived(std::vector<NumberedChange> changes, bool more_waits,
-                       std::function<void(bool taken)> done) override;
+  void changes_arrived(std::vector<NumberedChange> changes, bool more_available,
+                       std::function<void(bool accepted)> done) override;
 
  private:
   class Session;
   using SessionPointer = std::shared_ptr<Session>;
 
-  static transport::Task<> live(RelayActor& self);
+  static transport::Task<> run_mailbox(RelayActor& self);
   static transport::Task<> accept_subscribers(RelayActor& self);
   static transport::Task<> tick(RelayActor& self);
   static transport::Task<> serve(RelayActor& self, SessionPointer session);
-  static transport::Task<> write_rest(RelayActor& self, SessionPointer session, SharedBytes bytes,
-                                      std::size_t from);
+  static transport::Task<> write_remaining(RelayActor& self, SessionPointer session, SharedBytes bytes,
+                                           std::size_t offset);
   void post(RelayEvent event);
   void step(const RelayEvent& event);
-  void carry_out(const Accept& accept);
-  void carry_out(const Refuse& refuse);
-  void carry_out(const Give& give);
-  void carry_out(const Close& close);
+  void execute(const Accept& accept);
+  void execute(const Refuse& refuse);
+  void execute(const Send& send);
+  void execute(const Close& close);
   bool source_alive() const;
 
   transport::Scheduler& scheduler_;
@@ -68,7 +69,8 @@
   transport::Listener listener_;
   std::map<SubscriberId, SessionPointer> sessions_;
   SubscriberId last_id_ = 0;
-  std::function<void(bool)> done_later_;  // the source waits for room
+  // The unanswered done of the last changes_arrived(); empty unless reading waits for purges to expire.
+  std::function<void(bool)> pending_done_;
   std::uint64_t bytes_given_ = 0, writes_ = 0;
 };
 
--- a/src/distribution/relay_settings.hpp
+++ b/src/distribution/relay_settings.hpp
@@ -1,4 +1,4 @@
-// What the operator sets for a relay of the change stream. No behaviour.
+// The operator's settings for a relay of the change stream. No behaviour.
 #pragma once
 
 #include <cstddef>
@@ -10,24 +10,27 @@
 
 namespace hareramp::distribution {
 
-// Silence after which a director leaves a relay: over a comment's second and two ticks, and with the way to
-// the next relay within the 2.3 s in which a purge has to be in force.
+// How long a director waits for data from a relay before it switches to the next one. Longer than the comment
+// interval of one second plus two ticks, and short enough that, with the time to connect to the next relay, a
+// purge still takes effect within the required 2.3 s.
 constexpr transport::Seconds kRelaySilenceTimeout = 1.6;
 
 struct RelaySettings {
   bool enabled = false;
   transport::Address listen;
-  std::vector<Endpoint> sources;           // or other relays; tried in order
-  bool compressed = false;                 // asks the sources for gzip
+  std::vector<Endpoint> sources;           // sources or other relays, tried in order
+  bool compressed = false;                 // requests gzip from the sources
   transport::Seconds tick_interval = 0.2;  // between writes to a subscriber
-  std::size_t window_bytes = 1 << 20;      // of events kept for subscribers that come back
-  transport::Seconds purge_lifetime = 10;  // after which every node has dropped what a purge names
-  std::size_t purges_most = 200'000;       // live at once; past it reading pauses
-  std::size_t subscribers_most = 2000;     // connections at once
-  std::size_t joins_per_tick = 64;         // snapshots and partial batches begun in a tick
-  transport::Seconds stalled = 10;         // a subscriber that takes nothing for so long is closed
-  transport::Seconds source_silent = 2.2;  // after which subscribers are sent elsewhere
-  transport::Seconds comment_every = 1;    // to a subscriber that there is nothing for
+  std::size_t window_bytes = 1 << 20;      // of events kept for subscribers that reconnect
+  transport::Seconds purge_lifetime = 10;  // after which every node has dropped the purged objects
+  std::size_t purges_most = 200'000;       // maximum of live purges; at the limit reading pauses
+  std::size_t subscribers_most = 2000;     // maximum of concurrent connections
+  std::size_t max_joins_per_tick = 64;     // snapshots and partial batches started in one tick
+  transport::Seconds stall_timeout = 10;   // a subscriber that reads nothing for this long is closed
+  // After this long without data from the source, no comments are sent and new subscribers are refused, so
+  // that subscribers switch to another relay.
+  transport::Seconds source_silence_timeout = 2.2;
+  transport::Seconds comment_interval = 1;  // between comments to a subscriber without new events
 };
 
 }  // namespace hareramp::distribution
--- a/src/distribution/snapshot.cpp
+++ b/src/distribution/snapshot.cpp
@@ -12,86 +12,89 @@
 using transport::Seconds;
 
 namespace {
-// s between stamps of consecutive purges: more may be a step of the issuer's clock, or two issuers.
-constexpr Seconds kStampGap = 1;
-// s beyond a lifetime that stamps must show: some steps too small to be told from a gap.
-constexpr Seconds kStampTolerance = 5;
+// s between the timestamps of consecutive purges. A larger gap may be a step of the issuer's clock, or a
+// second issuer.
+constexpr Seconds kMaxTimestampGap = 1;
+// s by which timestamps must exceed a lifetime. Covers several clock steps that are each too small to be
+// distinguished from an ordinary gap.
+constexpr Seconds kTimestampMargin = 5;
 }  // namespace
 
-Snapshot::Snapshot(Seconds purge_lifetime, std::size_t purges_most)
-    : purge_lifetime_(purge_lifetime), purges_most_(purges_most) {}
+Snapshot::Snapshot(Seconds purge_lifetime, std::size_t max_purges)
+    : purge_lifetime_(purge_lifetime), max_purges_(max_purges) {}
 
 void Snapshot::add(Seconds now, long long number, const Change& change) {
   if (change.nodes) {
     const NodeList& list = *change.nodes;
-    if (list.whole) {
+    if (list.complete) {
       nodes_.clear();
       has_list_ = true;
     }
     for (const NodeEntry& entry : list.entries) {
-      if (entry.gone)
+      if (entry.removed)
         nodes_.erase(entry.id);
       else
-        nodes_[entry.id] = entry.text;
+        nodes_[entry.id] = entry.json;
     }
     list_number_ = number;
     list_version_ = list.version;
   }
   if (!change.purge) return;
-  const Seconds issued = change.purge->unix_ms / 1000;
-  note_stamp(issued);
-  purges_[change.purge->subject] = {number, change.members};
-  expiries_.push_back({now + purge_lifetime_, change.purge->subject, number, issued, stamp_run_});
+  const Seconds issued_at = change.purge->unix_ms / 1000;
+  record_timestamp(issued_at);
+  purges_[change.purge->target] = {number, change.json_members};
+  expiries_.push_back({now + purge_lifetime_, change.purge->target, number, issued_at, timestamp_run_});
   expire(now);
 }
 
-void Snapshot::note_stamp(Seconds issued) {
-  if (std::abs(issued - last_issued_) > kStampGap) ++stamp_run_;
-  last_issued_ = issued;
+void Snapshot::record_timestamp(Seconds issued_at) {
+  if (std::abs(issued_at - last_issued_at_) > kMaxTimestampGap) ++timestamp_run_;
+  last_issued_at_ = issued_at;
 }
 
-bool Snapshot::is_over(const Expiry& expiry, Seconds now) const {
-  if (expiry.at <= now) return true;
-  return expiry.stamp_run == stamp_run_ && last_issued_ - expiry.issued > purge_lifetime_ + kStampTolerance;
+bool Snapshot::has_expired(const Expiry& expiry, Seconds now) const {
+  if (expiry.expires_at <= now) return true;
+  return expiry.timestamp_run == timestamp_run_ &&
+         last_issued_at_ - expiry.issued_at > purge_lifetime_ + kTimestampMargin;
 }
 
 void Snapshot::expire(Seconds now) {
-  while (!expiries_.empty() && is_over(expiries_.front(), now)) {
-    const auto purge = purges_.find(expiries_.front().subject);
-    // A later purge of the same subject lives on.
+  while (!expiries_.empty() && has_expired(expiries_.front(), now)) {
+    const auto purge = purges_.find(expiries_.front().target);
+    // A later purge of the same target stays until its own expiry.
     if (purge != purges_.end() && purge->second.number == expiries_.front().number) purges_.erase(purge);
     expiries_.pop_front();
   }
 }
 
-EncodedPiece Snapshot::after(long long cursor, long long last) const {
+EncodedChunk Snapshot::encode_after(long long cursor, long long last) const {
   std::vector<std::pair<long long, std::string>> events;
   if (list_number_ > cursor) {
     std::vector<std::string> entries;
-    for (const auto& [id, text] : nodes_) entries.push_back(text);
-    events.emplace_back(list_number_, whole_list_members(list_version_, entries));
+    for (const auto& [id, json] : nodes_) entries.push_back(json);
+    events.emplace_back(list_number_, complete_list_members(list_version_, entries));
   }
-  for (const auto& [subject, purge] : purges_)
-    if (purge.number > cursor) events.emplace_back(purge.number, purge.members);
+  for (const auto& [target, purge] : purges_)
+    if (purge.number > cursor) events.emplace_back(purge.number, purge.json_members);
   std::sort(events.begin(), events.end());
   std::string plain;
-  for (const auto& [number, members] : events) plain += encode_event(number, members);
-  return encode_piece(std::move(plain), last);
+  for (const auto& [number, json_members] : events) plain += encode_event(number, json_members);
+  return encode_chunk(std::move(plain), last);
 }
 
-long long Snapshot::oldest() const {
-  long long least = list_number_;
-  for (const auto& [subject, purge] : purges_) least = std::min(least, purge.number);
-  return least;
+long long Snapshot::oldest_number() const {
+  long long oldest = list_number_;
+  for (const auto& [target, purge] : purges_) oldest = std::min(oldest, purge.number);
+  return oldest;
 }
 
-void Snapshot::move_epoch(long long from, long long to) {
-  const auto move = [&](long long& number) {
-    if (epoch_of(number) == from) number = numbered(to, number);
+void Snapshot::renumber_epoch(long long from, long long to) {
+  const auto renumber = [&](long long& number) {
+    if (epoch_of(number) == from) number = number_in_epoch(to, number);
   };
-  move(list_number_);
-  for (auto& [subject, purge] : purges_) move(purge.number);
-  for (Expiry& expiry : expiries_) move(expiry.number);
+  renumber(list_number_);
+  for (auto& [target, purge] : purges_) renumber(purge.number);
+  for (Expiry& expiry : expiries_) renumber(expiry.number);
 }
 
 }  // namespace hareramp::distribution
--- a/src/distribution/snapshot.hpp
+++ b/src/distribution/snapshot.hpp
@@ -1,5 +1,6 @@
-// What still matters of the whole stream, whatever has been missed: the list of nodes, and the purges whose
-// time is not over. For a cursor that the window no longer reaches this stands in for the backlog. Pure.
+// The state that the whole change stream adds up to: the list of nodes, and the purges whose lifetime has not
+// ended. A subscriber whose cursor is older than the window receives this snapshot instead of all events that
+// it missed. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,55 +17,57 @@
 
 class Snapshot {
  public:
-  // A purge is kept for its lifetime from when it came. Its stamp is of the issuer's clock, which may be
-  // stepped as ours may, so the two are never compared. In a backlog a purge goes sooner where the source's
-  // later stamps alone show that its lifetime is over: as long as each lies close to the one before, no step
-  // is among them.
-  Snapshot(transport::Seconds purge_lifetime, std::size_t purges_most);
+  // A purge is kept for its lifetime, counted from its arrival here. Its timestamp comes from the issuer's
+  // clock. Either clock may be stepped, so a timestamp is never compared with the local time. In a backlog a
+  // purge is dropped earlier if later timestamps of the source alone show that its lifetime has ended. This
+  // holds as long as each timestamp is close to the previous one, because then there was no clock step
+  // between them.
+  Snapshot(transport::Seconds purge_lifetime, std::size_t max_purges);
 
-  // Of two purges of one subject the later event counts, whatever their stamps say.
+  // Of two purges with the same target the later event wins, whatever their timestamps are.
   void add(transport::Seconds now, long long number, const Change& change);
   void expire(transport::Seconds now);
   bool has_list() const { return has_list_; }
-  // No room for another purge until one expires. Repeats of one subject count each: all wait for their time.
-  bool full() const { return expiries_.size() >= purges_most_; }
-  std::size_t purges() const { return purges_.size(); }
+  // True if no further purge can be added until one expires. Repeated purges of one target count separately,
+  // because each stays until its own lifetime has ended.
+  bool full() const { return expiries_.size() >= max_purges_; }
+  std::size_t purge_count() const { return purges_.size(); }
 
-  // The events behind the cursor that still matter, under the numbers that they came with and in their order;
-  // the whole list stands under the number of the last change of nodes. last: of the stream, so that the
-  // cursor moves past what is left out.
-  EncodedPiece after(long long cursor, long long last) const;
-  // The least number in it: for every cursor before that it is the same.
-  long long oldest() const;
-  // What is numbered in one epoch is numbered in another from now on (relay.hpp).
-  void move_epoch(long long from, long long to);
+  // Encodes the events after the cursor that still apply, in order and under their original numbers. The
+  // complete node list has the number of the last node change. last: the last number of the stream, which
+  // becomes the subscriber's cursor, so that it skips the events left out.
+  EncodedChunk encode_after(long long cursor, long long last) const;
+  // The smallest number in the snapshot: every cursor below it gets the same snapshot.
+  long long oldest_number() const;
+  // Moves all events numbered in one epoch to another epoch (see Relay::adopt_epoch).
+  void renumber_epoch(long long from, long long to);
 
  private:
   struct LivePurge {
     long long number = 0;
-    std::string members;
+    std::string json_members;
   };
   struct Expiry {
-    transport::Seconds at = 0;
-    PurgeSubject subject;
+    transport::Seconds expires_at = 0;
+    PurgeTarget target;
     long long number = 0;
-    transport::Seconds issued = 0;  // by its stamp
-    std::uint64_t stamp_run = 0;
+    transport::Seconds issued_at = 0;  // by the purge's timestamp
+    std::uint64_t timestamp_run = 0;
   };
 
-  void note_stamp(transport::Seconds issued);
-  bool is_over(const Expiry& expiry, transport::Seconds now) const;
+  void record_timestamp(transport::Seconds issued_at);
+  bool has_expired(const Expiry& expiry, transport::Seconds now) const;
 
   transport::Seconds purge_lifetime_;
-  std::size_t purges_most_;
+  std::size_t max_purges_;
   bool has_list_ = false;
   long long list_number_ = 0;
   std::string list_version_;
-  std::map<std::string, std::string> nodes_;  // entries by id
-  std::map<PurgeSubject, LivePurge> purges_;
-  std::deque<Expiry> expiries_;  // in order
-  transport::Seconds last_issued_ = 0;
-  std::uint64_t stamp_run_ = 0;  // of stamps that each lie close to the one before
+  std::map<std::string, std::string> nodes_;  // JSON entries by node id
+  std::map<PurgeTarget, LivePurge> purges_;
+  std::deque<Expiry> expiries_;  // in order of arrival
+  transport::Seconds last_issued_at_ = 0;
+  std::uint64_t timestamp_run_ = 0;  // identifies a run of timestamps, each close to the previous one
 };
 
 }  // namespace hareramp::distribution
--- a/src/distribution/subscribers.cpp
+++ b/src/distribution/subscribers.cpp
@@ -8,7 +8,7 @@
   Subscriber& subscriber = all_[id];
   subscriber.cursor = cursor;
   subscriber.compressed = compressed;
-  subscriber.given_at = now;
+  subscriber.last_sent_at = now;
   return subscriber;
 }
 
@@ -17,11 +17,11 @@
   return found == all_.end() ? nullptr : &found->second;
 }
 
-std::vector<SubscriberId> Subscribers::stalled(Seconds now, Seconds longest) const {
-  std::vector<SubscriberId> found;
+std::vector<SubscriberId> Subscribers::stalled(Seconds now, Seconds timeout) const {
+  std::vector<SubscriberId> stalled_ids;
   for (const auto& [id, subscriber] : all_)
-    if (subscriber.busy && now - subscriber.given_at > longest) found.push_back(id);
-  return found;
+    if (subscriber.write_pending && now - subscriber.last_sent_at > timeout) stalled_ids.push_back(id);
+  return stalled_ids;
 }
 
 }  // namespace hareramp::distribution
--- a/src/distribution/subscribers.hpp
+++ b/src/distribution/subscribers.hpp
@@ -1,4 +1,4 @@
-// The subscribers of a relay: a cursor each, and whether the last bytes given to it have been taken. Pure.
+// The subscribers of a relay: for each its cursor, and whether the last write to it has completed. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,11 +13,11 @@
 using SubscriberId = std::uint64_t;
 
 struct Subscriber {
-  long long cursor = 0;     // number of the last event given to it
-  bool compressed = false;  // asked for gzip
-  bool joined = false;      // has been given a first piece, so that its cursor stands between batches
-  bool busy = false;        // has not yet taken what it was given last
-  transport::Seconds given_at = 0;
+  long long cursor = 0;     // number of the last event sent to it
+  bool compressed = false;  // requested gzip
+  bool joined = false;      // has received its first chunk, after which its cursor is at the end of a batch
+  bool write_pending = false;  // the last chunk is not yet completely written
+  transport::Seconds last_sent_at = 0;
 };
 
 class Subscribers {
@@ -27,8 +27,8 @@
   Subscriber* find(SubscriberId id);
   std::size_t count() const { return all_.size(); }
   std::map<SubscriberId, Subscriber>& all() { return all_; }
-  // Those that have taken nothing for so long.
-  std::vector<SubscriberId> stalled(transport::Seconds now, transport::Seconds longest) const;
+  // Subscribers whose write has been pending for longer than the timeout.
+  std::vector<SubscriberId> stalled(transport::Seconds now, transport::Seconds timeout) const;
 
  private:
   std::map<SubscriberId, Subscriber> all_;
--- a/src/distribution/subscription.cpp
+++ b/src/distribution/subscription.cpp
@@ -19,24 +19,24 @@
 using transport::Task;
 
 namespace {
-constexpr Seconds kSliceLook = 0.001;         // s; a slice takes less
-constexpr std::size_t kEventsInSlice = 4096;  // more from one read is no stream of changes
-constexpr int kDoublings = 10;                // of the pause between tries
+constexpr Seconds kBatchPollInterval = 0.001;     // s; the receiver usually needs less for a batch
+constexpr std::size_t kMaxEventsPerBatch = 4096;  // more events in one read: not a change stream
+constexpr int kMaxBackoffDoublings = 10;          // of the delay between attempts
 }  // namespace
 
-// Follows the endpoints, connection after connection, until it is told to stop.
+// Connects to the endpoints in turn, one connection at a time, until stop() is called.
 class Subscription::Connection : public std::enable_shared_from_this<Connection>,
                                  private protocol::HttpHandler,
                                  private protocol::EventHandler {
  public:
   explicit Connection(Subscription& owner)
-      : owner_(owner), events_(owner.limits_.max_event), slice_over_(owner.scheduler_) {}
+      : owner_(owner), event_parser_(owner.limits_.max_event), batch_done_(owner.scheduler_) {}
 
-  void start() { owner_.scheduler_.spawn(keep_following(shared_from_this())); }
-  // The receiver has taken the last slice in, or could not.
-  void slice_ended(bool taken) {
-    broken_ = broken_ || !taken;
-    slice_over_.notify();
+  void start() { owner_.scheduler_.spawn(run(shared_from_this())); }
+  // Called when the receiver has processed the last batch, or has failed to.
+  void finish_batch(bool accepted) {
+    broken_ = broken_ || !accepted;
+    batch_done_.notify();
   }
   void stop() {
     stopped_ = true;
@@ -44,126 +44,129 @@
   }
 
  private:
-  static Task<> keep_following(std::shared_ptr<Connection> self) {
+  static Task<> run(std::shared_ptr<Connection> self) {
     Subscription& owner = self->owner_;
     for (int failures = 0; !self->stopped_;) {
-      self->was_useful_ = false;
+      self->stream_started_ = false;
       try {
-        co_await self->follow();
-      } catch (const std::exception& error) {  // no memory, say: the stream must be followed all the same
-        owner.troubled(error.what());
+        co_await self->run_connection();
+      } catch (const std::exception& error) {  // such as out of memory: the subscription must continue
+        owner.report_failure(error.what());
       }
       if (self->stopped_) co_return;
-      failures = self->was_useful_ ? 0 : failures + 1;
-      owner.place_ = (owner.place_ + 1) % owner.endpoints_.size();
-      co_await owner.scheduler_.sleep_until(Scheduler::now() + owner.retry_pause(failures));
+      failures = self->stream_started_ ? 0 : failures + 1;
+      owner.endpoint_index_ = (owner.endpoint_index_ + 1) % owner.endpoints_.size();
+      co_await owner.scheduler_.sleep_until(Scheduler::now() + owner.retry_delay(failures));
     }
   }
-  Task<> follow();
-  Task<> hand_over(bool more_waits);
+  Task<> run_connection();
+  Task<> deliver_batch(bool more_available);
 
   void start_line(std::string_view status, std::string_view) override {
-    usable_ = status == "200";
-    broken_ = !usable_;
-    if (broken_) return owner_.troubled("answered " + std::string(status));
-    was_useful_ = true;
-    if (!std::exchange(owner_.trouble_, "").empty())
-      owner_.log_.info("change_log_followed", "change log: followed again, after event {}", owner_.last_);
+    status_ok_ = status == "200";
+    broken_ = !status_ok_;
+    if (broken_) return owner_.report_failure("answered with status " + std::string(status));
+    stream_started_ = true;
+    if (!std::exchange(owner_.last_failure_, "").empty())
+      owner_.log_.info("change_log_followed", "change stream: connected again, continuing after event {}",
+                       owner_.last_accepted_);
   }
   void header(std::string_view name, std::string_view value) override {
     if (protocol::same_name(name, "content-encoding") && value == "gzip")
       decoder_ = std::make_unique<protocol::GzipDecoder>();
   }
-  void body(std::string_view piece) override {
-    if (!usable_ || broken_) return;
-    const auto take = [this](std::string_view decoded) {
-      return events_.feed(decoded, *this) && slice_.size() <= kEventsInSlice;
+  void body(std::string_view chunk) override {
+    if (!status_ok_ || broken_) return;
+    const auto parse = [this](std::string_view decoded) {
+      return event_parser_.feed(decoded, *this) && batch_.size() <= kMaxEventsPerBatch;
     };
-    broken_ = decoder_ ? !decoder_->feed(piece, take) : !take(piece);
-    if (broken_) owner_.troubled("sends what is no stream of changes");
+    broken_ = decoder_ ? !decoder_->feed(chunk, parse) : !parse(chunk);
+    if (broken_) owner_.report_failure("the response body is not a valid change stream");
   }
   void event(std::string_view id, std::string_view data) override {
     auto change = protocol::Json::parse(data);
     long long number = 0;
     std::from_chars(id.data(), id.data() + id.size(), number);
     if (change && (*change)["seq"].whole()) number = *(*change)["seq"].whole();
-    slice_.push_back({number, std::move(change)});
+    batch_.push_back({number, std::move(change)});
   }
 
   Subscription& owner_;
   transport::Socket socket_;
-  protocol::EventParser events_;
-  std::unique_ptr<protocol::GzipDecoder> decoder_;  // null: the stream comes as it is
-  std::vector<Event> slice_;                        // read, and not yet on its way
-  transport::Signal slice_over_;
-  bool first_slice_ = false;  // of this connection
-  bool was_useful_ = false;   // this connection was answered with a stream
-  bool usable_ = false, broken_ = false, stopped_ = false;
+  protocol::EventParser event_parser_;
+  std::unique_ptr<protocol::GzipDecoder> decoder_;  // null: the stream is not compressed
+  std::vector<Event> batch_;                        // read, not yet passed to the receiver
+  transport::Signal batch_done_;
+  bool is_first_batch_ = false;  // the next batch is the first of this connection
+  bool stream_started_ = false;  // this connection's response had status 200
+  bool status_ok_ = false, broken_ = false, stopped_ = false;
 };
 
-// Guards against reading faster than the receiver works: a backlog would fill the memory and hold the loop
-// up. While this waits nothing is read; what the source sends stays with the system, and then with the
-// source.
-Task<> Subscription::Connection::hand_over(bool more_waits) {
-  owner_.slice_out_ = true;
-  owner_.mailbox_.post([&owner = owner_, events = std::exchange(slice_, {}),
-                        first = std::exchange(first_slice_, false), more_waits,
+// Guards against reading faster than the receiver processes: a large backlog would fill the memory and block
+// the event loop. While this waits nothing is read, so that unread data stays in the kernel's socket buffers
+// and then at the source.
+Task<> Subscription::Connection::deliver_batch(bool more_available) {
+  owner_.batch_in_flight_ = true;
+  owner_.mailbox_.post([&owner = owner_, events = std::exchange(batch_, {}),
+                        first = std::exchange(is_first_batch_, false), more_available,
                         self = shared_from_this()]() mutable {
-    owner.slice_arrived(std::move(events), first, more_waits, self);
+    owner.handle_batch(std::move(events), first, more_available, self);
   });
-  while (owner_.slice_out_) co_await slice_over_.wait();
+  while (owner_.batch_in_flight_) co_await batch_done_.wait();
 }
 
-// One connection, until it ends or falls silent; the next goes on behind the last event that was taken in.
-// The time that a slice takes is no silence of the source: that counts from the next read on.
-Task<> Subscription::Connection::follow() {
+// Runs one connection until it ends or the silence timeout passes; the next connection continues after the
+// last event that the receiver processed. The time that the receiver takes for a batch does not count as
+// silence of the source: each read starts the timeout again.
+Task<> Subscription::Connection::run_connection() {
   const Limits& limits = owner_.limits_;
-  // Of what was followed before: what it brought must be taken in, or not, before more is asked for.
-  while (owner_.slice_out_ && !stopped_)
-    co_await owner_.scheduler_.sleep_until(Scheduler::now() + kSliceLook);
+  // A batch of the previous connection may still be with the receiver. Its outcome decides which event the
+  // new connection continues after, so wait for it.
+  while (owner_.batch_in_flight_ && !stopped_)
+    co_await owner_.scheduler_.sleep_until(Scheduler::now() + kBatchPollInterval);
   if (stopped_) co_return;
-  const Endpoint endpoint = owner_.endpoints_[owner_.place_];
-  const Seconds until = Scheduler::now() + owner_.silent_after();
-  transport::Connected connected = co_await transport::connect(owner_.scheduler_, endpoint.address, until);
+  const Endpoint endpoint = owner_.endpoints_[owner_.endpoint_index_];
+  const Seconds deadline = Scheduler::now() + owner_.effective_silence_timeout();
+  transport::Connected connected = co_await transport::connect(owner_.scheduler_, endpoint.address, deadline);
   if (stopped_) co_return;
   if (connected.end != transport::ConnectEnd::kUp) {
-    owner_.troubled("no connection");
+    owner_.report_failure("connection failed");
     co_return;
   }
   ++owner_.counters_.log_connected;
   socket_ = std::move(connected.socket);
-  const std::string asked = "GET /changes HTTP/1.1\r\nHost: " + endpoint.host +
-                            "\r\nAccept: text/event-stream\r\n" +
-                            (owner_.options_.compressed ? "Accept-Encoding: gzip\r\n" : "") +
-                            "Last-Event-ID: " + std::to_string(owner_.last_) + "\r\n\r\n";
-  const Io sent = co_await socket_.write(asked, until);
+  const std::string request = "GET /changes HTTP/1.1\r\nHost: " + endpoint.host +
+                              "\r\nAccept: text/event-stream\r\n" +
+                              (owner_.options_.compressed ? "Accept-Encoding: gzip\r\n" : "") +
+                              "Last-Event-ID: " + std::to_string(owner_.last_accepted_) + "\r\n\r\n";
+  const Io sent = co_await socket_.write(request, deadline);
   if (!sent.ok()) co_return;
   protocol::HttpParser parser(protocol::HttpParser::Message::kResponse,
                               {limits.max_head, std::numeric_limits<std::size_t>::max()});
-  events_ = protocol::EventParser(limits.max_event);
+  event_parser_ = protocol::EventParser(limits.max_event);
   decoder_.reset();
-  slice_.clear();
-  usable_ = broken_ = false;
-  first_slice_ = true;
+  batch_.clear();
+  status_ok_ = broken_ = false;
+  is_first_batch_ = true;
   transport::Buffer in(limits.change_stream_read_size);
   for (;;) {
-    const Io io =
-        co_await socket_.read(in, limits.change_stream_read_size, Scheduler::now() + owner_.silent_after());
+    const Io io = co_await socket_.read(in, limits.change_stream_read_size,
+                                        Scheduler::now() + owner_.effective_silence_timeout());
     if (stopped_) co_return;
     if (io.end == IoEnd::kTimedOut) {
       ++owner_.counters_.log_silent;
-      owner_.troubled("silent");
+      owner_.report_failure("no data within the silence timeout");
     }
     if (!io.ok()) co_return;
-    owner_.heard_at_ = Scheduler::now();
+    owner_.last_received_at_ = Scheduler::now();
     auto step = protocol::HttpParser::Step::kHead;
     while (step == protocol::HttpParser::Step::kHead) {
       std::size_t used = 0;
       step = parser.feed(in.view(), used, *this);
       in.consume(used);
     }
-    const bool more_waits = io.bytes >= limits.change_stream_read_size;
-    if (!slice_.empty()) co_await hand_over(more_waits);
+    const bool more_available = io.bytes >= limits.change_stream_read_size;
+    if (!batch_.empty()) co_await deliver_batch(more_available);
     if (step != protocol::HttpParser::Step::kMore || broken_ || stopped_) co_return;
   }
 }
@@ -176,11 +179,11 @@
       counters_(counters),
       log_(log),
       endpoints_(std::move(endpoints)),
-      last_(last),
-      received_(last),
+      last_accepted_(last),
+      last_posted_(last),
       receiver_(receiver),
       options_(options),
-      chance_(options.seed),
+      random_(options.seed),
       mailbox_(scheduler) {}
 
 Subscription::~Subscription() = default;
@@ -188,87 +191,95 @@
 void Subscription::start(const std::vector<protocol::Json>& known) {
   for (const protocol::Json& change : known)
     mailbox_.post([this, change] { receiver_.known_change_arrived(change); });
-  scheduler_.spawn(live(*this));
-  follow();
+  scheduler_.spawn(run_mailbox(*this));
+  reconnect();
 }
 
 void Subscription::set_endpoints(std::vector<Endpoint> endpoints) {
   mailbox_.post([this, endpoints = std::move(endpoints)]() mutable {
     if (endpoints == endpoints_) return;
-    const Endpoint current = endpoints_[place_];
+    const Endpoint current = endpoints_[endpoint_index_];
     endpoints_ = std::move(endpoints);
-    const auto same = std::find(endpoints_.begin(), endpoints_.end(), current);
-    place_ = same == endpoints_.end() ? 0 : static_cast<std::size_t>(same - endpoints_.begin());
-    if (same != endpoints_.end()) return;
-    log_.info("change_log_moved", "change log: from now on at {}, after event {}", endpoints_[0].host, last_);
-    follow();
+    const auto unchanged = std::find(endpoints_.begin(), endpoints_.end(), current);
+    endpoint_index_ =
+        unchanged == endpoints_.end() ? 0 : static_cast<std::size_t>(unchanged - endpoints_.begin());
+    if (unchanged != endpoints_.end()) return;
+    log_.info("change_log_moved", "change stream: switched to {}, continuing after event {}",
+              endpoints_[0].host, last_accepted_);
+    reconnect();
   });
 }
 
-// Guards against an old source that stays open and tells nothing: it is left at once, not when it ends. What
-// it had told and we had not read is told again by the new one; what both tell counts once.
-void Subscription::follow() {
+// Guards against an old source that keeps its connection open but sends nothing: the connection is closed at
+// once, not when the source ends it. Events that the old source had sent and that were not read yet are sent
+// again by the new one. Events that both have sent are processed once.
+void Subscription::reconnect() {
   if (connection_) connection_->stop();
   connection_ = std::make_shared<Connection>(*this);
   connection_->start();
 }
 
-Seconds Subscription::silent_after() const {
+Seconds Subscription::effective_silence_timeout() const {
   return options_.silence_timeout > 0 ? options_.silence_timeout : limits_.change_stream_silence_timeout;
 }
 
-// Guards against thousands of subscribers that come back in the same moment: each draws its own, and later
-// ones the longer nobody answers.
-Seconds Subscription::retry_pause(int failures) {
+// Guards against thousands of subscribers that reconnect in the same moment: each draws its own random delay,
+// and the delays grow with the number of consecutive failures.
+Seconds Subscription::retry_delay(int failures) {
   if (options_.retry_longest <= 0) return limits_.change_stream_retry_delay;
-  const double doubled = limits_.change_stream_retry_delay * std::exp2(std::min(failures, kDoublings));
-  const Seconds longest = std::min(doubled, options_.retry_longest);
-  return std::uniform_real_distribution<double>(longest / 2, longest)(chance_);
+  const double backoff =
+      limits_.change_stream_retry_delay * std::exp2(std::min(failures, kMaxBackoffDoublings));
+  const Seconds max_delay = std::min(backoff, options_.retry_longest);
+  return std::uniform_real_distribution<double>(max_delay / 2, max_delay)(random_);
 }
 
-Task<> Subscription::live(Subscription& self) { co_await self.mailbox_.serve(); }
+Task<> Subscription::run_mailbox(Subscription& self) { co_await self.mailbox_.serve(); }
 
-// Tries go on several times a second; the log hears of each trouble once.
-void Subscription::troubled(const std::string& what) {
-  if (trouble_ == what) return;
-  trouble_ = what;
-  log_.warning("change_log_lost", "change log: {}; trying again, after event {}", what, last_);
+// Attempts are repeated several times a second, so a failure is logged only if its reason differs from the
+// last.
+void Subscription::report_failure(const std::string& reason) {
+  if (last_failure_ == reason) return;
+  last_failure_ = reason;
+  log_.warning("change_log_lost", "change stream: {}; retrying after event {}", reason, last_accepted_);
 }
 
-void Subscription::slice_arrived(std::vector<Event> events, bool first_of_connection, bool more_waits,
-                                 const std::shared_ptr<Connection>& connection) {
+void Subscription::handle_batch(std::vector<Event> events, bool first_of_connection, bool more_available,
+                                const std::shared_ptr<Connection>& connection) {
   const Event& first = events.front();
-  if (options_.restarts_followed && first_of_connection && first.number > 0 && first.number <= received_ &&
+  if (options_.restarts_followed && first_of_connection && first.number > 0 && first.number <= last_posted_ &&
       first.change && (*first.change)["fleet"]["full"].truth()) {
-    log_.warning("change_log_restarted", "change log: began anew at event {}, after event {}", first.number,
-                 last_);
-    last_ = received_ = first.number - 1;
+    log_.warning("change_log_restarted", "change stream: the source restarted at event {}, after event {}",
+                 first.number, last_accepted_);
+    last_accepted_ = last_posted_ = first.number - 1;
   }
   std::vector<NumberedChange> changes;
   for (Event& event : events) {
     ++counters_.events;
-    if (event.number > 0 && event.number <= received_) continue;  // before, or after a reconnection
-    if (event.number > 0) received_ = event.number;
+    // Already received, in this connection or before a reconnection.
+    if (event.number > 0 && event.number <= last_posted_) continue;
+    if (event.number > 0) last_posted_ = event.number;
     if (event.change && event.change->is_object()) {
       changes.push_back({event.number, std::move(*event.change)});
       continue;
     }
     ++counters_.events_skipped;
-    log_.warning("event_unreadable", "change log: event {} can't be read", event.number);
+    log_.warning("event_unreadable", "change stream: event {} is not a valid change", event.number);
   }
   receiver_.changes_arrived(
-      std::move(changes), more_waits, [this, newest = received_, connection](bool taken) {
-        mailbox_.post([this, newest, taken, connection] { slice_ended(newest, taken, *connection); });
+      std::move(changes), more_available, [this, last_number = last_posted_, connection](bool accepted) {
+        mailbox_.post(
+            [this, last_number, accepted, connection] { finish_batch(last_number, accepted, *connection); });
       });
 }
 
-// Guards against a change that is lost because the receiver failed half way (no memory, say): the connection
-// is made anew from the last event taken in, and all behind it comes again. Being told twice changes nothing.
-void Subscription::slice_ended(long long newest, bool taken, Connection& connection) {
-  slice_out_ = false;
-  if (taken) last_ = std::max(last_, newest);
-  if (!taken) received_ = last_;
-  connection.slice_ended(taken);
+// Guards against losing a change because the receiver failed partway (out of memory, for example): the
+// subscription reconnects after the last processed event and receives all later ones again. Processing a
+// change twice has no further effect.
+void Subscription::finish_batch(long long last_number, bool accepted, Connection& connection) {
+  batch_in_flight_ = false;
+  if (accepted) last_accepted_ = std::max(last_accepted_, last_number);
+  if (!accepted) last_posted_ = last_accepted_;
+  connection.finish_batch(accepted);
 }
 
 }  // namespace hareramp::distribution
--- a/src/distribution/subscription.hpp
+++ b/src/distribution/subscription.hpp
@@ -1,7 +1,7 @@
-// The actor that follows the change stream: takes what is known at the start and what the stream brings, and
-// posts it to the receiver in order and once. A task of its own keeps a connection to one of several
-// endpoints and reads in slices: the next slice is read only after the receiver has taken the last one in, so
-// that what waits is bounded however much the source has to send.
+// The actor that subscribes to the change stream. It delivers the changes known at the start and those of the
+// stream to the receiver, in order and each once. A separate task keeps a connection to one of several
+// endpoints and reads in batches. It reads the next batch only after the receiver has processed the last one,
+// which bounds the data in this process however much the source has to send.
 #pragma once
 
 #include <cstdint>
@@ -30,66 +30,69 @@
   bool operator==(const Endpoint& other) const { return address == other.address; }
 };
 
-// How endpoints are followed. The defaults are the platform's: one source, asked again at a steady pace.
+// How a subscription connects to its endpoints. The defaults are those for the platform's own source: a
+// single endpoint that is retried at a constant interval.
 struct SubscriptionOptions {
-  bool compressed = false;         // asks for the content coding gzip
-  bool restarts_followed = false;  // a whole list under a number already used is a stream that began anew
-  // Seconds before the next try: from a random part (a half to all) of the first up to that of the longest,
-  // doubled with each failure in a row. 0 for the longest: always Limits::log_again, undrawn.
+  bool compressed = false;         // requests the content coding gzip
+  bool restarts_followed = false;  // a complete node list with a number already seen means a restarted source
+  // Upper bound of the exponential backoff, which starts at Limits::change_stream_retry_delay, doubles with
+  // each consecutive failure and is shortened at random to between half and all of it. 0: the delay is always
+  // Limits::change_stream_retry_delay, without backoff and without jitter.
   transport::Seconds retry_longest = 0;
-  // Silence after which an endpoint is left; 0: Limits::log_silent.
+  // Time without data after which the endpoint is given up; 0: Limits::change_stream_silence_timeout.
   transport::Seconds silence_timeout = 0;
   std::uint64_t seed = 1;
 };
 
 class Subscription {
  public:
-  // endpoints: at least one, tried from the first on. last: the number of the last event known already.
+  // endpoints: at least one, tried in order. last: the number of the last event already known.
   Subscription(transport::Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
                std::vector<Endpoint> endpoints, long long last, ChangeReceiver& receiver,
                SubscriptionOptions options = {});
   ~Subscription();
-  // With the events known already, which reach the receiver before anything else can.
+  // known: changes from before the stream, which reach the receiver before any change of the stream.
   void start(const std::vector<protocol::Json>& known);
-  // Only posts: from then on these are followed, after the last event taken in, and the old ones no more.
-  // Where the endpoint followed now is among them nothing changes but what comes after it.
+  // Only posts to the mailbox. Replaces the endpoints and reconnects, continuing after the last event that
+  // the receiver has processed. If the current endpoint is among the new ones its connection stays, and only
+  // the endpoints tried after it change.
   void set_endpoints(std::vector<Endpoint> endpoints);
-  // The number of the last event that the receiver has taken in; a new connection goes on behind it.
-  long long last() const { return last_; }
-  // When the source was last heard, in the scheduler's time; -infinity: never.
-  transport::Seconds heard_at() const { return heard_at_; }
+  // The number of the last event that the receiver has processed; a new connection continues after it.
+  long long last() const { return last_accepted_; }
+  // When data last arrived from the source, in the scheduler's time; -infinity: never.
+  transport::Seconds last_received_at() const { return last_received_at_; }
 
  private:
   class Connection;
   struct Event {
     long long number = 0;                  // 0: none
-    std::optional<protocol::Json> change;  // empty: can't be read
+    std::optional<protocol::Json> change;  // empty: not valid JSON
   };
-  void follow();
-  transport::Seconds silent_after() const;
-  transport::Seconds retry_pause(int failures);
-  void slice_arrived(std::vector<Event> events, bool first_of_connection, bool more_waits,
-                     const std::shared_ptr<Connection>& connection);
-  void slice_ended(long long newest, bool taken, Connection& connection);
-  static transport::Task<> live(Subscription& self);
-  void troubled(const std::string& what);
+  void reconnect();
+  transport::Seconds effective_silence_timeout() const;
+  transport::Seconds retry_delay(int failures);
+  void handle_batch(std::vector<Event> events, bool first_of_connection, bool more_available,
+                    const std::shared_ptr<Connection>& connection);
+  void finish_batch(long long last_number, bool accepted, Connection& connection);
+  static transport::Task<> run_mailbox(Subscription& self);
+  void report_failure(const std::string& reason);
 
   transport::Scheduler& scheduler_;
   const Limits& limits_;
   Counters& counters_;
   Log& log_;
   std::vector<Endpoint> endpoints_;
-  std::size_t place_ = 0;  // of the endpoint followed now
-  long long last_;         // taken in by the receiver
-  long long received_;     // on its way to the receiver
+  std::size_t endpoint_index_ = 0;  // of the current endpoint
+  long long last_accepted_;         // number of the last event that the receiver has processed
+  long long last_posted_;           // number of the last event passed to the receiver
   ChangeReceiver& receiver_;
   SubscriptionOptions options_;
-  std::mt19937_64 chance_;
+  std::mt19937_64 random_;
   transport::Mailbox mailbox_;
   std::shared_ptr<Connection> connection_;
-  transport::Seconds heard_at_ = -transport::kNever;
-  bool slice_out_ = false;  // one is on its way to the receiver; never two
-  std::string trouble_;     // what was logged last, until events come again
+  transport::Seconds last_received_at_ = -transport::kNever;
+  bool batch_in_flight_ = false;  // the receiver has not yet answered for a batch; at most one
+  std::string last_failure_;      // the last reason logged; cleared when a stream starts again
 };
 
 }  // namespace hareramp::distribution
--- a/src/distribution/window.hpp
+++ b/src/distribution/window.hpp
@@ -1,5 +1,5 @@
 // The newest events of the stream, in batches that are encoded once for all subscribers. Bounded in bytes:
-// the oldest batches go first. Pure.
+// the oldest batches are evicted first. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,57 +11,58 @@
 
 namespace hareramp::distribution {
 
-// Bytes that go to a subscriber, shared by all that get the same.
+// Bytes to send, shared by all subscribers that receive the same ones.
 using SharedBytes = std::shared_ptr<const std::string>;
 
-// The same events as they are and as one gzip member.
-struct EncodedPiece {
+// The same events as plain text and as one gzip member.
+struct EncodedChunk {
   SharedBytes plain, compressed;
   long long last = 0;  // number of the last event in it
 };
-EncodedPiece encode_piece(std::string plain, long long last);
+EncodedChunk encode_chunk(std::string plain, long long last);
 
 class Window {
  public:
-  explicit Window(std::size_t bytes_most) : bytes_most_(bytes_most) {}
+  explicit Window(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Numbers rise. What is added waits until the batch is closed, which a long one is by itself.
+  // Numbers must rise. Events become available to next() when their batch is closed, by close_batch() or by
+  // itself once the batch is large.
   void add(long long number, const std::string& event);
   void close_batch();
-  bool batch_waits() const { return !open_marks_.empty(); }
+  bool has_open_batch() const { return !open_batch_offsets_.empty(); }
 
-  // Every event behind the cursor is still here.
-  bool reaches(long long cursor) const { return cursor >= floor_; }
-  // Number of the last event in a closed batch, or of the last one given up.
-  long long last() const { return batches_.empty() ? floor_ : batches_.back().piece.last; }
-  // What follows the cursor, which the window reaches: a whole batch, or the rest of one where the cursor is
-  // inside it. Empty where there is nothing.
+  // True if every event after the cursor is still in the window.
+  bool covers(long long cursor) const { return cursor >= evicted_through_; }
+  // Number of the last event in a closed batch, or of the last evicted event if there is none.
+  long long last() const { return batches_.empty() ? evicted_through_ : batches_.back().chunk.last; }
+  // What follows the cursor, which the window must cover: a whole batch, or the rest of one if the cursor is
+  // inside it. The chunk is empty if nothing follows.
   struct Next {
-    EncodedPiece piece;
-    bool shared = true;  // false: made for this cursor alone
+    EncodedChunk chunk;
+    bool shared = true;  // false: encoded for this cursor only
   };
   Next next(long long cursor) const;
-  // Forgets everything up to and with this number.
-  void restart(long long floor);
+  // Drops all events; numbers up to and including this one count as evicted.
+  void reset(long long last_number);
   std::size_t bytes() const { return bytes_; }
 
  private:
-  struct Mark {
+  struct EventOffset {
     long long number = 0;
-    std::size_t begin = 0;  // of the event in the batch's plain bytes
+    std::size_t offset = 0;  // of the event in the batch's plain bytes
   };
   struct Batch {
-    EncodedPiece piece;
-    std::vector<Mark> marks;
+    EncodedChunk chunk;
+    std::vector<EventOffset> event_offsets;
   };
   static std::size_t size_of(const Batch& batch);
 
-  std::size_t bytes_most_;
+  std::size_t max_bytes_;
   std::size_t bytes_ = 0;
-  long long floor_ = 0;
+  long long evicted_through_ = 0;  // number of the last evicted event
   std::deque<Batch> batches_;
-  std::string open_bytes_;
-  std::vector<Mark> open_marks_;
+  std::string open_batch_bytes_;
+  std::vector<EventOffset> open_batch_offsets_;
 };
 
 }  // namespace hareramp::distribution
--- a/src/storage/worker.cpp
+++ b/src/storage/worker.cpp
@@ -15,47 +15,47 @@
 using transport::Task;
 using transport::Wake;
 
-Worker::Worker(transport::Scheduler& scheduler, std::size_t most_waiting)
-    : scheduler_(scheduler), most_waiting_(most_waiting) {}
+Worker::Worker(transport::Scheduler& scheduler, std::size_t max_pending)
+    : scheduler_(scheduler), max_pending_(max_pending) {}
 
 Worker::~Worker() {
   {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  wanted_.notify_all();
+  wake_worker_.notify_all();
   if (thread_.joinable()) thread_.join();
   if (watch_) watch_->close();
-  if (bell_ >= 0) ::close(bell_);
+  if (event_descriptor_ >= 0) ::close(event_descriptor_);
 }
 
 bool Worker::post(Call job, Call done) {
-  if (out_ >= most_waiting_) return false;
-  if (bell_ < 0) {
-    bell_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-    if (bell_ < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
-    watch_ = std::make_unique<transport::Watch>(scheduler_, bell_);
-    scheduler_.spawn(live(*this));
-    // The signals are the loop's, which reads them from a descriptor.
+  if (pending_ >= max_pending_) return false;
+  if (event_descriptor_ < 0) {
+    event_descriptor_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+    if (event_descriptor_ < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
+    watch_ = std::make_unique<transport::Watch>(scheduler_, event_descriptor_);
+    scheduler_.spawn(deliver_results(*this));
+    // The thread blocks all signals: the event loop receives them through a descriptor.
     sigset_t all, before;
     sigfillset(&all);
     pthread_sigmask(SIG_SETMASK, &all, &before);
     thread_ = std::thread([this] { run(); });
     pthread_sigmask(SIG_SETMASK, &before, nullptr);
   }
-  ++out_;
+  ++pending_;
   {
     const std::lock_guard lock(mutex_);
     jobs_.push_back({std::move(job), std::move(done)});
   }
-  wanted_.notify_one();
+  wake_worker_.notify_one();
   return true;
 }
 
 void Worker::run() {
   std::unique_lock lock(mutex_);
   for (;;) {
-    wanted_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
+    wake_worker_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
     if (stopping_) return;
     Job job = std::move(jobs_.front());
     jobs_.pop_front();
@@ -63,15 +63,15 @@
     job.work();
     lock.lock();
     finished_.push_back(std::move(job.done));
-    const std::uint64_t one = 1;
-    [[maybe_unused]] const ssize_t rung = ::write(bell_, &one, sizeof one);
+    const std::uint64_t increment = 1;
+    [[maybe_unused]] const ssize_t written = ::write(event_descriptor_, &increment, sizeof increment);
   }
 }
 
-Task<> Worker::live(Worker& self) {
+Task<> Worker::deliver_results(Worker& self) {
   for (;;) {
-    std::uint64_t rung = 0;
-    if (::read(self.bell_, &rung, sizeof rung) < 0) {
+    std::uint64_t event_count = 0;
+    if (::read(self.event_descriptor_, &event_count, sizeof event_count) < 0) {
       if (co_await self.watch_->readable(kNever) == Wake::kClosed) co_return;
       continue;
     }
@@ -81,7 +81,7 @@
       finished.swap(self.finished_);
     }
     for (Call& done : finished) {
-      --self.out_;
+      --self.pending_;
       self.scheduler_.run_guarded(done);
     }
   }
--- a/src/storage/worker.hpp
+++ b/src/storage/worker.hpp
@@ -1,6 +1,6 @@
-// One thread beside the loop for what may block: disk, mostly. Jobs run in order; what is to be done with
-// their results runs in the loop. Not started before the first job, so that it costs nothing where it is not
-// used.
+// A thread for operations that may block, mostly on the disk, so that the event loop does not. Jobs run in
+// order; the callbacks for their results run in the loop. The thread is started with the first job, so that
+// an unused worker costs nothing.
 #pragma once
 
 #include <condition_variable>
@@ -18,31 +18,31 @@
 
 class Worker {
  public:
-  // At most so many jobs wait.
-  Worker(transport::Scheduler& scheduler, std::size_t most_waiting);
-  ~Worker();  // waits for the job that is running; those behind it are dropped
+  // max_pending: post() fails while this many jobs are pending.
+  Worker(transport::Scheduler& scheduler, std::size_t max_pending);
+  ~Worker();  // waits for the running job; queued jobs are dropped
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // job runs on the thread and must not throw; done runs in the loop afterwards. False: too much is waiting,
-  // and neither will run.
+  // job runs on the thread and must not throw; done runs in the loop afterwards. Returns false, and runs
+  // neither, if too many jobs are pending.
   bool post(transport::Call job, transport::Call done);
-  std::size_t pending() const { return out_; }  // posted and not yet done, the loop's part included
+  std::size_t pending() const { return pending_; }  // posted jobs whose done has not yet run
 
  private:
   struct Job {
     transport::Call work, done;
   };
   void run();
-  static transport::Task<> live(Worker& self);
+  static transport::Task<> deliver_results(Worker& self);
 
   transport::Scheduler& scheduler_;
-  std::size_t most_waiting_, out_ = 0;
-  int bell_ = -1;
+  std::size_t max_pending_, pending_ = 0;
+  int event_descriptor_ = -1;
   std::unique_ptr<transport::Watch> watch_;
   std::thread thread_;
   std::mutex mutex_;
-  std::condition_variable wanted_;
+  std::condition_variable wake_worker_;
   std::deque<Job> jobs_;
   std::deque<transport::Call> finished_;
   bool stopping_ = false;
--- a/tests/distribution/relay_test.cpp
+++ b/tests/distribution/relay_test.cpp
@@ -1,4 +1,4 @@
-// The core of a relay, and what it rests on, without sockets: what a subscriber is given for each cursor.
+// The core of a relay and its window, without sockets: what a subscriber receives for each cursor.
 #include "distribution/relay.hpp"
 
 #include <random>
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr double kUnix = 1'800'000'000;  // s
+constexpr double kStartUnixTime = 1'800'000'000;  // s
 
 std::string decoded(const std::string& compressed) {
   protocol::GzipDecoder decoder;
@@ -28,48 +28,48 @@
 
 RelaySettings small_settings() {
   RelaySettings settings;
-  settings.window_bytes = 2000;  // some ten purges, in batches of one
+  settings.window_bytes = 2000;  // about ten purges, in batches of one
   settings.purge_lifetime = 10;
   return settings;
 }
 
-// A relay with subscribers that take everything at once; time stands still but for pass().
-class RelayRig {
+// A relay with subscribers whose writes complete at once. Time passes only in advance().
+class RelayFixture {
  public:
-  explicit RelayRig(const RelaySettings& settings = small_settings()) : relay(settings) {}
+  explicit RelayFixture(const RelaySettings& settings = small_settings()) : relay(settings) {}
 
-  void changes(std::vector<NumberedChange> all) { step(ChangesArrived{std::move(all)}); }
-  void purge(long long number) {
-    changes({numbered_change(number, purge_members(number, (kUnix + now) * 1000))});
+  void send_changes(std::vector<NumberedChange> changes) { step(ChangesArrived{std::move(changes)}); }
+  void send_purge(long long number) {
+    send_changes({numbered_change(number, purge_members(number, (kStartUnixTime + now) * 1000))});
   }
-  void list(long long number, const std::string& ids) {
-    changes({numbered_change(number, node_members(ids, true))});
+  void send_list(long long number, const std::string& ids) {
+    send_changes({numbered_change(number, node_members(ids, true))});
   }
-  void tick(bool alive = true) { step(Ticked{alive}); }
-  void pass(double seconds) {
+  void tick(bool source_alive = true) { step(Ticked{source_alive}); }
+  void advance(double seconds) {
     now += seconds;
     tick();
   }
-  // Joins with the reader's cursor.
-  void join(SubscriberId id, StreamReader& reader, bool compressed = false) {
+  // Connects with the reader's cursor.
+  void connect(SubscriberId id, StreamReader& reader, bool compressed = false) {
     readers[id] = &reader;
     is_compressed[id] = compressed;
-    step(SubscriberArrived{id, reader.last, compressed});
+    step(SubscriberConnected{id, reader.last, compressed});
   }
-  void leave(SubscriberId id) {
+  void disconnect(SubscriberId id) {
     readers.erase(id);
-    step(SubscriberLeft{id});
+    step(SubscriberDisconnected{id});
   }
   void step(const RelayEvent& event) {
     for (const RelayEffect& effect : relay.step(now, event)) {
-      if (const auto* give = std::get_if<Give>(&effect)) {
-        bytes[give->id] += give->bytes->size();
-        const std::string plain = is_compressed[give->id] ? decoded(*give->bytes) : *give->bytes;
-        if (readers.contains(give->id)) readers[give->id]->read(plain);
+      if (const auto* send = std::get_if<Send>(&effect)) {
+        bytes[send->id] += send->bytes->size();
+        const std::string plain = is_compressed[send->id] ? decoded(*send->bytes) : *send->bytes;
+        if (readers.contains(send->id)) readers[send->id]->read(plain);
         if (plain == ":\n\n") ++comments;
-        if (!held.contains(give->id)) step(PieceTaken{give->id});
+        if (!stalled.contains(send->id)) step(WriteCompleted{send->id});
       }
-      if (const auto* refuse = std::get_if<Refuse>(&effect)) refused.push_back(refuse->why);
+      if (const auto* refuse = std::get_if<Refuse>(&effect)) refused.push_back(refuse->reason);
       if (const auto* close = std::get_if<Close>(&effect)) closed.insert(close->id);
     }
   }
@@ -79,401 +79,411 @@
   std::map<SubscriberId, StreamReader*> readers;
   std::map<SubscriberId, bool> is_compressed;
   std::map<SubscriberId, std::size_t> bytes;
-  std::set<SubscriberId> held, closed;  // held: take nothing
+  std::set<SubscriberId> stalled, closed;  // stalled: their writes never complete
   std::vector<Refusal> refused;
   int comments = 0;
 };
 
 }  // namespace
 
-TEST_CASE("the window: the rest of a batch for a cursor inside it; what it gave up it does not reach") {
+TEST_CASE("window: a cursor inside a batch gets the rest of it; evicted events are not covered") {
   Window window(400);
   const std::string event(50, 'e');
   for (long long number = 1; number <= 3; ++number) window.add(number, event);
-  CHECK_FALSE(window.next(0).piece.plain);  // not closed yet
+  CHECK_FALSE(window.next(0).chunk.plain);  // not closed yet
   window.close_batch();
-  CHECK(window.next(0).piece.plain->size() == 150);
+  CHECK(window.next(0).chunk.plain->size() == 150);
   CHECK(window.next(0).shared);
-  CHECK(window.next(2).piece.plain->size() == 50);
+  CHECK(window.next(2).chunk.plain->size() == 50);
   CHECK_FALSE(window.next(2).shared);
-  CHECK_FALSE(window.next(3).piece.plain);
-  CHECK(decoded(*window.next(1).piece.compressed) == *window.next(1).piece.plain);
+  CHECK_FALSE(window.next(3).chunk.plain);
+  CHECK(decoded(*window.next(1).chunk.compressed) == *window.next(1).chunk.plain);
   for (long long number = 4; number <= 6; ++number) window.add(number, event);
   window.close_batch();
-  CHECK_FALSE(window.reaches(2));
-  CHECK(window.reaches(3));
-  CHECK(window.next(3).piece.last == 6);
+  CHECK_FALSE(window.covers(2));
+  CHECK(window.covers(3));
+  CHECK(window.next(3).chunk.last == 6);
   CHECK(window.bytes() <= 400);
 }
 
-TEST_CASE("the window: its bound holds while a backlog comes without a tick between") {
+TEST_CASE("window: the size limit holds during a backlog without ticks in between") {
   Window window(200'000);
   const std::string event(100, 'e');
   for (long long number = 1; number <= 100'000; ++number) window.add(number, event);
   CHECK(window.bytes() <= 200'000);
-  CHECK_FALSE(window.reaches(90'000));
+  CHECK_FALSE(window.covers(90'000));
   CHECK(window.last() > 99'000);
 }
 
-TEST_CASE("a subscriber within the window gets each change once and in order, plain and compressed alike") {
-  RelayRig rig;
+TEST_CASE("relay: a subscriber within the window gets each change once and in order, plain or compressed") {
+  RelayFixture fixture;
   StreamReader plain, compressed;
-  rig.list(1, "ab");
-  rig.tick();
-  rig.join(1, plain);
-  rig.join(2, compressed, true);
+  fixture.send_list(1, "ab");
+  fixture.tick();
+  fixture.connect(1, plain);
+  fixture.connect(2, compressed, true);
   for (long long number = 2; number <= 40; ++number) {
-    rig.purge(number);
-    if (number % 3 == 0) rig.pass(0.2);
+    fixture.send_purge(number);
+    if (number % 3 == 0) fixture.advance(0.2);
   }
-  rig.pass(0.2);
+  fixture.advance(0.2);
   CHECK(plain.numbers.size() == 40);
   CHECK(plain.numbers == compressed.numbers);
   CHECK(plain.nodes.size() == 2);
-  CHECK(rig.relay.counts().snapshots == 0);
+  CHECK(fixture.relay.counts().snapshots == 0);
 }
 
 TEST_CASE(
-    "behind the window: the whole list and the purges that live, under rising numbers behind the cursor") {
-  RelayRig rig;
+    "relay: a cursor before the window gets the complete list and the live purges under rising numbers") {
+  RelayFixture fixture;
   StreamReader reader;
-  rig.list(1, "abc");
-  rig.pass(0.2);
-  rig.join(1, reader);
-  rig.pass(0.2);
-  rig.leave(1);
+  fixture.send_list(1, "abc");
+  fixture.advance(0.2);
+  fixture.connect(1, reader);
+  fixture.advance(0.2);
+  fixture.disconnect(1);
   CHECK(reader.last == 1);
   for (long long number = 2; number <= 500; ++number) {
-    rig.purge(number);
-    if (number == 100) rig.changes({numbered_change(101, node_members("b", false, "left"))}), ++number;
-    rig.pass(0.1);
+    fixture.send_purge(number);
+    if (number == 100)
+      fixture.send_changes({numbered_change(101, node_members("b", false, "left"))}), ++number;
+    fixture.advance(0.1);
   }
-  rig.join(1, reader);
-  rig.pass(0.2);
-  CHECK(rig.relay.counts().snapshots == 1);
+  fixture.connect(1, reader);
+  fixture.advance(0.2);
+  CHECK(fixture.relay.counts().snapshots == 1);
   CHECK(reader.nodes.size() == 2);
   CHECK(reader.purges.size() <= 110);  // a lifetime of 10 s at 10/s
   for (std::uint64_t number = 405; number <= 500; ++number) CHECK(reader.purges[number] == 1);
   CHECK(std::is_sorted(reader.numbers.begin(), reader.numbers.end()));
   CHECK(reader.last == 500);
-  rig.purge(501);
-  rig.pass(0.2);
+  fixture.send_purge(501);
+  fixture.advance(0.2);
   CHECK(reader.purges[501] == 1);
 }
 
-TEST_CASE("purges live from their receipt whatever their stamps say; of two the later event is kept") {
-  RelayRig rig;
-  rig.list(1, "a");
-  rig.changes({numbered_change(2, purge_members(7, (kUnix + 5) * 1000)),
-               numbered_change(3, purge_members(7, (kUnix + 1) * 1000)),
-               numbered_change(4, purge_members(8, (kUnix - 3600) * 1000))});
-  CHECK(rig.relay.live_purges() == 2);
-  for (long long number = 5; number <= 60; ++number) {  // the window forgets them
-    rig.changes({numbered_change(number, node_members("a", false))});
-    rig.tick();
+TEST_CASE(
+    "relay: a purge's lifetime starts when it arrives, whatever its timestamp; of two the later event is "
+    "kept") {
+  RelayFixture fixture;
+  fixture.send_list(1, "a");
+  fixture.send_changes({numbered_change(2, purge_members(7, (kStartUnixTime + 5) * 1000)),
+                        numbered_change(3, purge_members(7, (kStartUnixTime + 1) * 1000)),
+                        numbered_change(4, purge_members(8, (kStartUnixTime - 3600) * 1000))});
+  CHECK(fixture.relay.live_purges() == 2);
+  for (long long number = 5; number <= 60; ++number) {  // evicts them from the window
+    fixture.send_changes({numbered_change(number, node_members("a", false))});
+    fixture.tick();
   }
-  struct Times : protocol::EventHandler {
+  struct TimestampCollector : protocol::EventHandler {
     void event(std::string_view, std::string_view data) override {
-      const auto read = read_change(*protocol::Json::parse(data));
-      if (read.purge) times.push_back(read.purge->unix_ms);
+      const auto parsed = parse_change(*protocol::Json::parse(data));
+      if (parsed.purge) timestamps.push_back(parsed.purge->unix_ms);
     }
-    std::vector<double> times;
-  } times;
-  std::string given;
-  for (const RelayEffect& effect : rig.relay.step(rig.now, SubscriberArrived{1, 0, false})) (void)effect;
-  for (const RelayEffect& effect : rig.relay.step(rig.now, Ticked{true}))
-    if (const auto* give = std::get_if<Give>(&effect)) given += *give->bytes;
-  protocol::EventParser(1 << 20).feed(given, times);
-  CHECK(times.times == std::vector<double>{(kUnix + 1) * 1000, (kUnix - 3600) * 1000});
-  rig.pass(9.9);
-  CHECK(rig.relay.live_purges() == 2);
-  rig.pass(0.2);
-  CHECK(rig.relay.live_purges() == 0);
+    std::vector<double> timestamps;
+  } collector;
+  std::string sent_bytes;
+  for (const RelayEffect& effect : fixture.relay.step(fixture.now, SubscriberConnected{1, 0, false}))
+    (void)effect;
+  for (const RelayEffect& effect : fixture.relay.step(fixture.now, Ticked{true}))
+    if (const auto* send = std::get_if<Send>(&effect)) sent_bytes += *send->bytes;
+  protocol::EventParser(1 << 20).feed(sent_bytes, collector);
+  CHECK(collector.timestamps ==
+        std::vector<double>{(kStartUnixTime + 1) * 1000, (kStartUnixTime - 3600) * 1000});
+  fixture.advance(9.9);
+  CHECK(fixture.relay.live_purges() == 2);
+  fixture.advance(0.2);
+  CHECK(fixture.relay.live_purges() == 0);
 }
 
-TEST_CASE("at the bound of live purges there is no room until some expire") {
+TEST_CASE("relay: at the limit of live purges no changes are accepted until some expire") {
   RelaySettings settings = small_settings();
   settings.purges_most = 3;
-  RelayRig rig(settings);
-  rig.list(1, "a");
-  for (long long number = 2; number <= 4; ++number) rig.purge(number);
-  CHECK_FALSE(rig.relay.has_room());
-  rig.pass(10.1);
-  CHECK(rig.relay.has_room());
+  RelayFixture fixture(settings);
+  fixture.send_list(1, "a");
+  for (long long number = 2; number <= 4; ++number) fixture.send_purge(number);
+  CHECK_FALSE(fixture.relay.can_accept_changes());
+  fixture.advance(10.1);
+  CHECK(fixture.relay.can_accept_changes());
 }
 
-TEST_CASE("repeats of one purge count towards the bound each, until their time is over") {
+TEST_CASE("relay: each repeat of a purge counts towards the limit until it expires") {
   RelaySettings settings = small_settings();
   settings.purges_most = 3;
-  RelayRig rig(settings);
-  rig.list(1, "a");
+  RelayFixture fixture(settings);
+  fixture.send_list(1, "a");
   for (long long number = 2; number <= 4; ++number)
-    rig.changes({numbered_change(number, purge_members(7, kUnix * 1000))});
-  CHECK(rig.relay.live_purges() == 1);
-  CHECK_FALSE(rig.relay.has_room());
-  rig.pass(10.1);
-  CHECK(rig.relay.has_room());
+    fixture.send_changes({numbered_change(number, purge_members(7, kStartUnixTime * 1000))});
+  CHECK(fixture.relay.live_purges() == 1);
+  CHECK_FALSE(fixture.relay.can_accept_changes());
+  fixture.advance(10.1);
+  CHECK(fixture.relay.can_accept_changes());
 }
 
-TEST_CASE("a backlog of 360,000 old purges: the bound holds, reading pauses once, and all are taken") {
+TEST_CASE(
+    "relay: with a backlog of 360,000 old purges the limit holds, reading pauses once, all are processed") {
   RelaySettings settings;
-  RelayRig rig(settings);
-  rig.list(1, "a");
-  constexpr long long kBacklog = 360'000;
-  std::size_t most = 0;
+  RelayFixture fixture(settings);
+  fixture.send_list(1, "a");
+  constexpr long long kBacklogSize = 360'000;
+  std::size_t most_live = 0;
   int pauses = 0;
-  for (long long number = 2; number <= kBacklog + 1; ++number) {
-    if (!rig.relay.has_room()) {
+  for (long long number = 2; number <= kBacklogSize + 1; ++number) {
+    if (!fixture.relay.can_accept_changes()) {
       ++pauses;
-      rig.pass(settings.purge_lifetime + 0.1);
+      fixture.advance(settings.purge_lifetime + 0.1);
     }
-    REQUIRE(rig.relay.has_room());
-    rig.changes(
-        {numbered_change(number, purge_members(static_cast<std::uint64_t>(number), (kUnix - 3600) * 1000))});
-    most = std::max(most, rig.relay.live_purges());
+    REQUIRE(fixture.relay.can_accept_changes());
+    fixture.send_changes({numbered_change(
+        number, purge_members(static_cast<std::uint64_t>(number), (kStartUnixTime - 3600) * 1000))});
+    most_live = std::max(most_live, fixture.relay.live_purges());
   }
   CHECK(pauses == 1);
-  CHECK(most == settings.purges_most);
-  CHECK(rig.relay.window_bytes() <= settings.window_bytes);
-  rig.pass(settings.purge_lifetime + 0.1);
-  CHECK(rig.relay.live_purges() == 0);
+  CHECK(most_live == settings.purges_most);
+  CHECK(fixture.relay.window_bytes() <= settings.window_bytes);
+  fixture.advance(settings.purge_lifetime + 0.1);
+  CHECK(fixture.relay.live_purges() == 0);
 }
 
-TEST_CASE("an hour of purges in one backlog: what its own stamps show to be over is not held") {
-  RelayRig rig;
-  rig.list(1, "a");
-  constexpr long long kPurges = 36'000;  // one each 0.1 s
-  std::size_t most = 0;
-  for (long long number = 2; number <= kPurges + 1; ++number) {
-    const double issued = kUnix - 3600 + 0.1 * static_cast<double>(number);
-    rig.changes({numbered_change(number, purge_members(static_cast<std::uint64_t>(number), issued * 1000))});
-    most = std::max(most, rig.relay.live_purges());
+TEST_CASE("relay: of a one-hour backlog, purges that its own timestamps show to have expired are not kept") {
+  RelayFixture fixture;
+  fixture.send_list(1, "a");
+  constexpr long long kPurgeCount = 36'000;  // one every 0.1 s
+  std::size_t most_live = 0;
+  for (long long number = 2; number <= kPurgeCount + 1; ++number) {
+    const double issued_at = kStartUnixTime - 3600 + 0.1 * static_cast<double>(number);
+    fixture.send_changes(
+        {numbered_change(number, purge_members(static_cast<std::uint64_t>(number), issued_at * 1000))});
+    most_live = std::max(most_live, fixture.relay.live_purges());
   }
-  CHECK(most > 100);  // the lifetime of 10 s
-  CHECK(most < 200);
+  CHECK(most_live > 100);  // those of the last 10 s, one lifetime
+  CHECK(most_live < 200);
 }
 
-TEST_CASE("a step of the issuer's clock shows nothing: live purges stay, whatever is stamped after it") {
+TEST_CASE("relay: a step of the issuer's clock drops no live purges, whatever timestamps follow it") {
   for (const double step : {-3600.0, -5.0, 5.0, 3600.0}) {
-    RelayRig rig;
-    rig.list(1, "a");
-    for (long long number = 2; number <= 20; ++number) rig.purge(number);
-    // 100 s of stamps after the step, all within a moment, as a source begun anew would tell its backlog.
+    RelayFixture fixture;
+    fixture.send_list(1, "a");
+    for (long long number = 2; number <= 20; ++number) fixture.send_purge(number);
+    // 100 s of timestamps after the step, all at once, as a restarted source sends its backlog.
     for (long long number = 21; number <= 1020; ++number) {
-      const double issued = kUnix + step + 0.1 * static_cast<double>(number);
-      rig.changes(
-          {numbered_change(number, purge_members(static_cast<std::uint64_t>(number), issued * 1000))});
+      const double issued_at = kStartUnixTime + step + 0.1 * static_cast<double>(number);
+      fixture.send_changes(
+          {numbered_change(number, purge_members(static_cast<std::uint64_t>(number), issued_at * 1000))});
     }
-    CHECK_MESSAGE(rig.relay.live_purges() >= 19 + 100, "step " << step);
+    CHECK_MESSAGE(fixture.relay.live_purges() >= 19 + 100, "step " << step);
     StreamReader reader;
-    rig.tick();
-    rig.join(1, reader);
-    rig.tick();
+    fixture.tick();
+    fixture.connect(1, reader);
+    fixture.tick();
     CHECK_MESSAGE(reader.purges.contains(2), "step " << step);
-    rig.pass(10.1);
-    CHECK(rig.relay.live_purges() == 0);
+    fixture.advance(10.1);
+    CHECK(fixture.relay.live_purges() == 0);
   }
 }
 
-TEST_CASE("a source that began anew: numbers still rise, and its list replaces the old one") {
-  RelayRig rig;
+TEST_CASE("relay: after a restart of the source numbers still rise, and its list replaces the old one") {
+  RelayFixture fixture;
   StreamReader reader;
-  rig.list(1, "ab");
-  rig.purge(2);
-  rig.pass(0.2);
-  rig.join(1, reader);
-  rig.pass(0.2);
+  fixture.send_list(1, "ab");
+  fixture.send_purge(2);
+  fixture.advance(0.2);
+  fixture.connect(1, reader);
+  fixture.advance(0.2);
   CHECK(reader.last == 2);
-  rig.list(1, "xyz");
-  rig.purge(2);
-  rig.pass(0.2);
-  CHECK(rig.relay.counts().restarts == 1);
+  fixture.send_list(1, "xyz");
+  fixture.send_purge(2);
+  fixture.advance(0.2);
+  CHECK(fixture.relay.counts().restarts == 1);
   CHECK(reader.nodes.size() == 3);
-  CHECK(reader.last == numbered(1, 2));
+  CHECK(reader.last == number_in_epoch(1, 2));
   CHECK(reader.purges[2] == 2);
 }
 
-TEST_CASE("two relays that count a restart differently: who changes between them misses nothing") {
-  RelayRig knows, does_not;
+TEST_CASE("relay: a subscriber that switches between relays with different restart counts misses nothing") {
+  RelayFixture saw_restart, missed_restart;
   StreamReader reader;
-  knows.list(1, "ab");
-  knows.list(1, "xyz");
-  does_not.list(1, "xyz");
-  for (RelayRig* rig : {&knows, &does_not}) {
-    rig->purge(2);
-    rig->pass(0.2);
+  saw_restart.send_list(1, "ab");
+  saw_restart.send_list(1, "xyz");
+  missed_restart.send_list(1, "xyz");
+  for (RelayFixture* fixture : {&saw_restart, &missed_restart}) {
+    fixture->send_purge(2);
+    fixture->advance(0.2);
   }
-  knows.join(1, reader);
-  knows.pass(0.2);
-  CHECK(reader.last == numbered(1, 2));
-  does_not.purge(3);
-  does_not.join(1, reader);
-  does_not.pass(0.2);
+  saw_restart.connect(1, reader);
+  saw_restart.advance(0.2);
+  CHECK(reader.last == number_in_epoch(1, 2));
+  missed_restart.send_purge(3);
+  missed_restart.connect(1, reader);
+  missed_restart.advance(0.2);
   CHECK(reader.purges[3] == 1);
-  does_not.purge(4);
-  does_not.pass(0.2);
+  missed_restart.send_purge(4);
+  missed_restart.advance(0.2);
   CHECK(reader.purges[4] == 1);
-  CHECK(reader.last == numbered(1, 4));
-  StreamReader absurd;
-  absurd.last = numbered(1'000'000, 1);
-  does_not.join(2, absurd);
-  CHECK(does_not.refused == std::vector<Refusal>{Refusal::kBadCursor});
+  CHECK(reader.last == number_in_epoch(1, 4));
+  StreamReader invalid;
+  invalid.last = number_in_epoch(1'000'000, 1);
+  missed_restart.connect(2, invalid);
+  CHECK(missed_restart.refused == std::vector<Refusal>{Refusal::kBadCursor});
 }
 
-TEST_CASE("a cursor far ahead: refused while more waits at the source, else of an earlier life of it") {
-  RelayRig rig;
-  StreamReader reader, broken;
-  rig.list(1, "ab");
-  rig.purge(2);
-  rig.step(ChangesArrived{{}, true});
-  rig.tick();
+TEST_CASE(
+    "relay: a cursor far ahead is refused during catch-up, and otherwise taken as from before a restart") {
+  RelayFixture fixture;
+  StreamReader reader, faulty;
+  fixture.send_list(1, "ab");
+  fixture.send_purge(2);
+  fixture.step(ChangesArrived{{}, true});
+  fixture.tick();
   reader.last = 500'000;
-  rig.join(1, reader);
-  CHECK(rig.refused == std::vector<Refusal>{Refusal::kBehind});
-  rig.step(ChangesArrived{{}, false});
-  rig.join(1, reader);
-  rig.pass(0.2);
-  CHECK(reader.last == numbered(1, 2));
+  fixture.connect(1, reader);
+  CHECK(fixture.refused == std::vector<Refusal>{Refusal::kBehind});
+  fixture.step(ChangesArrived{{}, false});
+  fixture.connect(1, reader);
+  fixture.advance(0.2);
+  CHECK(reader.last == number_in_epoch(1, 2));
   CHECK(reader.purges[2] == 1);
   CHECK(reader.nodes.size() == 2);
-  broken.last = numbered(5, 1);  // a second one within seconds would cost everybody another snapshot
-  rig.join(2, broken);
-  CHECK(rig.refused.back() == Refusal::kBadCursor);
-  rig.pass(10);
-  rig.join(2, broken);
-  CHECK(rig.relay.subscribers() == 2);
+  // A second epoch within seconds would cost every subscriber another snapshot.
+  faulty.last = number_in_epoch(5, 1);
+  fixture.connect(2, faulty);
+  CHECK(fixture.refused.back() == Refusal::kBadCursor);
+  fixture.advance(10);
+  fixture.connect(2, faulty);
+  CHECK(fixture.relay.subscribers() == 2);
 }
 
-TEST_CASE("refused without a list or a source; comments only while the source is heard") {
+TEST_CASE(
+    "relay: refuses subscribers without a list or a source; sends comments only while the source is alive") {
   RelaySettings settings = small_settings();
   settings.subscribers_most = 1;
-  RelayRig rig(settings);
+  RelayFixture fixture(settings);
   StreamReader reader, other;
-  rig.tick();
-  rig.join(1, reader);
-  rig.list(1, "a");
-  rig.tick(false);
-  rig.join(1, reader);
-  rig.tick(true);
-  rig.join(1, reader);
-  rig.join(2, other);
-  CHECK(rig.refused == std::vector<Refusal>{Refusal::kNoListYet, Refusal::kSourceLost, Refusal::kFull});
-  rig.pass(0.2);
-  rig.pass(1.1);
-  CHECK(rig.comments == 1);
-  rig.now += 5;
-  rig.tick(false);
-  CHECK(rig.comments == 1);
+  fixture.tick();
+  fixture.connect(1, reader);
+  fixture.send_list(1, "a");
+  fixture.tick(false);
+  fixture.connect(1, reader);
+  fixture.tick(true);
+  fixture.connect(1, reader);
+  fixture.connect(2, other);
+  CHECK(fixture.refused == std::vector<Refusal>{Refusal::kNoListYet, Refusal::kSourceLost, Refusal::kFull});
+  fixture.advance(0.2);
+  fixture.advance(1.1);
+  CHECK(fixture.comments == 1);
+  fixture.now += 5;
+  fixture.tick(false);
+  CHECK(fixture.comments == 1);
 }
 
-TEST_CASE("a subscriber that takes nothing is closed in time and costs the others nothing") {
-  RelayRig rig;
+TEST_CASE("relay: a subscriber that reads nothing is closed in time and does not affect the others") {
+  RelayFixture fixture;
   StreamReader reader, slow;
-  rig.list(1, "a");
-  rig.tick();
-  rig.held.insert(2);
-  rig.join(1, reader);
-  rig.join(2, slow);
+  fixture.send_list(1, "a");
+  fixture.tick();
+  fixture.stalled.insert(2);
+  fixture.connect(1, reader);
+  fixture.connect(2, slow);
   for (long long number = 2; number <= 60; ++number) {
-    rig.purge(number);
-    rig.pass(0.2);
+    fixture.send_purge(number);
+    fixture.advance(0.2);
   }
-  CHECK(rig.closed == std::set<SubscriberId>{2});
+  CHECK(fixture.closed == std::set<SubscriberId>{2});
   CHECK(reader.numbers.size() == 60);
-  CHECK(rig.relay.window_bytes() <= small_settings().window_bytes);
-  CHECK(rig.relay.subscribers() == 1);
+  CHECK(fixture.relay.window_bytes() <= small_settings().window_bytes);
+  CHECK(fixture.relay.subscribers() == 1);
 }
 
-TEST_CASE("a region that comes back at once is spread over ticks") {
+TEST_CASE("relay: many subscribers that reconnect at once are spread over ticks") {
   RelaySettings settings = small_settings();
-  settings.joins_per_tick = 10;
-  RelayRig rig(settings);
-  rig.list(1, "a");
+  settings.max_joins_per_tick = 10;
+  RelayFixture fixture(settings);
+  fixture.send_list(1, "a");
   for (long long number = 2; number <= 200; ++number) {
-    rig.purge(number);
-    rig.tick();
+    fixture.send_purge(number);
+    fixture.tick();
   }
   std::vector<StreamReader> readers(35);
-  for (std::size_t place = 0; place < readers.size(); ++place) rig.join(place + 1, readers[place]);
-  for (const std::uint64_t given : {10u, 20u, 30u, 35u}) {
-    rig.tick();
-    CHECK(rig.relay.counts().snapshots == given);
+  for (std::size_t index = 0; index < readers.size(); ++index) fixture.connect(index + 1, readers[index]);
+  for (const std::uint64_t expected : {10u, 20u, 30u, 35u}) {
+    fixture.tick();
+    CHECK(fixture.relay.counts().snapshots == expected);
   }
   for (const StreamReader& reader : readers) CHECK(reader.last == 200);
 }
 
-// Two relays with different windows follow one source that now and then begins anew; a relay may miss any
-// span and then hears all that the source still tells, or what another relay's snapshot has; directors change
-// between them at any moment. A director that is connected at the end knows the source's list and every purge
-// within its lifetime.
-TEST_CASE("any order of cuts, restarts and changes of relay: nothing that still matters is missed") {
+// Two relays with different window sizes follow one source that restarts now and then. A relay may miss any
+// number of changes and then receives all that the source still has. A director switches between the relays
+// at random moments. At the end it must know the source's node list and every purge within its lifetime.
+TEST_CASE(
+    "relay: with random disconnections, restarts and relay switches no change that still applies is missed") {
   for (unsigned seed = 1; seed <= 300; ++seed) {
-    std::mt19937 chance(seed);
-    const auto draw = [&](int below) { return static_cast<int>(chance() % static_cast<unsigned>(below)); };
-    RelaySettings narrow = small_settings(), wide = small_settings();
-    narrow.window_bytes = 300, wide.window_bytes = 20000;
-    RelayRig first(narrow), second(wide);
-    RelayRig* relays[] = {&first, &second};
-    std::vector<NumberedChange> told;  // by the source in this life
-    std::map<std::uint64_t, double> purged_at;
+    std::mt19937 random(seed);
+    const auto draw = [&](int below) { return static_cast<int>(random() % static_cast<unsigned>(below)); };
+    RelaySettings small_window = small_settings(), large_window = small_settings();
+    small_window.window_bytes = 300, large_window.window_bytes = 20000;
+    RelayFixture first(small_window), second(large_window);
+    RelayFixture* relays[] = {&first, &second};
+    std::vector<NumberedChange> sent;  // by the source since its last restart
+    std::map<std::uint64_t, double> purge_times;
     std::string nodes = "ab";
-    std::size_t heard[] = {0, 0};
+    std::size_t received[] = {0, 0};
     StreamReader reader;
-    int follows = -1;
-    std::uint64_t groups = 0;
-    const auto tell = [&](const std::string& members) {
-      told.push_back(numbered_change(static_cast<long long>(told.size()) + 1, members));
+    int connected_to = -1;
+    std::uint64_t last_group = 0;
+    const auto send_from_source = [&](const std::string& members) {
+      sent.push_back(numbered_change(static_cast<long long>(sent.size()) + 1, members));
     };
-    const auto catch_up = [&](int place) {
-      relays[place]->changes({told.begin() + static_cast<std::ptrdiff_t>(heard[place]), told.end()});
-      heard[place] = told.size();
-      relays[place]->tick();
+    const auto deliver_to = [&](int index) {
+      relays[index]->send_changes({sent.begin() + static_cast<std::ptrdiff_t>(received[index]), sent.end()});
+      received[index] = sent.size();
+      relays[index]->tick();
     };
-    tell(node_members(nodes, true));
-    for (int turn = 0; turn < 120; ++turn) {
+    send_from_source(node_members(nodes, true));
+    for (int round = 0; round < 120; ++round) {
       first.now += 0.1, second.now += 0.1;
       switch (draw(8)) {
         case 0:
         case 1:
         case 2:
-          purged_at[++groups] = first.now;
-          tell(purge_members(groups, (kUnix + first.now) * 1000));
+          purge_times[++last_group] = first.now;
+          send_from_source(purge_members(last_group, (kStartUnixTime + first.now) * 1000));
           break;
         case 3:
           nodes = std::string(1, static_cast<char>('a' + draw(20)));
-          tell(node_members(nodes, true));
+          send_from_source(node_members(nodes, true));
           break;
         case 4:
         case 5:
-          catch_up(draw(2));
+          deliver_to(draw(2));
           break;
         case 6: {
-          if (follows >= 0) relays[follows]->leave(1);
-          follows = draw(2);
-          if (heard[follows] == 0) catch_up(follows);
-          relays[follows]->join(1, reader);
+          if (connected_to >= 0) relays[connected_to]->disconnect(1);
+          connected_to = draw(2);
+          if (received[connected_to] == 0) deliver_to(connected_to);
+          relays[connected_to]->connect(1, reader);
           break;
         }
         case 7:
           if (draw(10) != 0) break;
-          told.clear();  // it begins anew, with its list; what it told before it no longer tells
-          tell(node_members(nodes, true));
-          for (const int place : {0, 1}) heard[place] = 0, catch_up(place);
+          sent.clear();  // the source restarts with its list and no longer has its earlier changes
+          send_from_source(node_members(nodes, true));
+          for (const int index : {0, 1}) received[index] = 0, deliver_to(index);
           break;
       }
     }
-    for (const int place : {0, 1}) catch_up(place);
-    if (follows < 0) relays[follows = 0]->join(1, reader);
-    for (int ticks = 0; ticks < 5; ++ticks) relays[follows]->tick();
-    const std::string newest(1, nodes.back());
-    CHECK_MESSAGE(reader.nodes.contains(newest), "seed " << seed);
+    for (const int index : {0, 1}) deliver_to(index);
+    if (connected_to < 0) relays[connected_to = 0]->connect(1, reader);
+    for (int ticks = 0; ticks < 5; ++ticks) relays[connected_to]->tick();
+    const std::string last_node(1, nodes.back());
+    CHECK_MESSAGE(reader.nodes.contains(last_node), "seed " << seed);
     CHECK_MESSAGE(std::is_sorted(reader.numbers.begin(), reader.numbers.end()), "seed " << seed);
-    // Purges told in this life of the source: those before it began anew may have reached no relay.
-    for (const NumberedChange& change : told) {
-      const auto read = read_change(change.change);
-      if (!read.purge || first.now - purged_at[read.purge->subject.id] > 9.9) continue;
-      CHECK_MESSAGE(reader.purges[read.purge->subject.id] >= 1,
-                    "seed " << seed << ", purge " << read.purge->subject.id);
+    // Purges since the last restart of the source: earlier ones may have reached no relay.
+    for (const NumberedChange& change : sent) {
+      const auto parsed = parse_change(change.change);
+      if (!parsed.purge || first.now - purge_times[parsed.purge->target.id] > 9.9) continue;
+      CHECK_MESSAGE(reader.purges[parsed.purge->target.id] >= 1,
+                    "seed " << seed << ", purge " << parsed.purge->target.id);
     }
   }
 }
--- a/tests/distribution/stream.hpp
+++ b/tests/distribution/stream.hpp
@@ -1,5 +1,5 @@
-// What the tests of the change stream share: changes as a source numbers them, and a reader of what a relay
-// gives that keeps the director's rule (an event whose number is not above the last one is dropped).
+// Shared by the tests of the change stream: changes as a source numbers them, and a reader of a relay's
+// output that follows the director's rule (an event whose number is not above the last one is dropped).
 #pragma once
 
 #include <map>
@@ -19,16 +19,16 @@
   return "\"invalidate\":{\"bucket\":" + std::to_string(group) +
          ",\"time\":" + std::to_string(static_cast<long long>(unix_ms)) + "}";
 }
-inline std::string node_members(const std::string& ids, bool whole, const std::string& state = "active") {
+inline std::string node_members(const std::string& ids, bool complete, const std::string& state = "active") {
   std::string entries;
   for (const char id : ids)
     entries +=
         std::string(entries.empty() ? "" : ",") + "{\"id\":\"" + id + "\",\"state\":\"" + state + "\"}";
-  return std::string("\"fleet\":{\"version\":1,\"full\":") + (whole ? "true" : "false") + ",\"servers\":[" +
-         entries + "]}";
+  return std::string("\"fleet\":{\"version\":1,\"full\":") + (complete ? "true" : "false") +
+         ",\"servers\":[" + entries + "]}";
 }
 
-// A director as far as the stream goes.
+// Applies the events of a stream as a director does.
 class StreamReader : public protocol::EventHandler {
  public:
   void read(std::string_view bytes) { parser_.feed(bytes, *this); }
@@ -38,20 +38,20 @@
     if (number <= last) return;
     last = number;
     numbers.push_back(number);
-    const distribution::Change read = distribution::read_change(change);
-    if (read.purge) ++purges[read.purge->subject.id];
-    if (!read.nodes) return;
-    if (read.nodes->whole) nodes.clear();
-    for (const auto& entry : read.nodes->entries) {
-      if (entry.gone)
+    const distribution::Change parsed = distribution::parse_change(change);
+    if (parsed.purge) ++purges[parsed.purge->target.id];
+    if (!parsed.nodes) return;
+    if (parsed.nodes->complete) nodes.clear();
+    for (const auto& entry : parsed.nodes->entries) {
+      if (entry.removed)
         nodes.erase(entry.id);
       else
-        nodes[entry.id] = entry.text;
+        nodes[entry.id] = entry.json;
     }
   }
   long long last = 0;
   std::vector<long long> numbers;
-  std::map<std::uint64_t, int> purges;  // by group, how often
+  std::map<std::uint64_t, int> purges;  // times received, by group
   std::map<std::string, std::string> nodes;
 
  private:
--- a/tests/distribution/subscription_test.cpp
+++ b/tests/distribution/subscription_test.cpp
@@ -1,5 +1,5 @@
-// The subscription against a stand-in for the source: slices, what could not be taken in, several endpoints,
-// gzip.
+// The subscription with a stand-in for the source: batches, batches that the receiver failed to process,
+// several endpoints, gzip.
 #include "distribution/subscription.hpp"
 
 #include <optional>
@@ -12,160 +12,167 @@
 using namespace hareramp::distribution;
 using transport::Scheduler;
 
-// A receiver that answers when the test says so.
 namespace {
-struct SlowReceiver : ChangeReceiver {
+// A receiver that acknowledges a batch only when the test calls answer().
+struct ManualReceiver : ChangeReceiver {
   void known_change_arrived(protocol::Json) override {}
   void changes_arrived(std::vector<NumberedChange> changes, bool, std::function<void(bool)> done) override {
-    for (const auto& change : changes) seen.push_back(change.number);
-    waiting.push_back(std::move(done));
+    for (const auto& change : changes) numbers.push_back(change.number);
+    pending.push_back(std::move(done));
   }
-  void answer(bool taken) {
-    const auto done = std::move(waiting.front());
-    waiting.erase(waiting.begin());
-    done(taken);
+  void answer(bool accepted) {
+    const auto done = std::move(pending.front());
+    pending.erase(pending.begin());
+    done(accepted);
   }
-  std::vector<long long> seen;
-  std::vector<std::function<void(bool)>> waiting;
+  std::vector<long long> numbers;
+  std::vector<std::function<void(bool)>> pending;
 };
 
-struct Slices {
-  explicit Slices(double silent = 15, SubscriptionOptions options = {}) {
+struct SubscriptionFixture {
+  explicit SubscriptionFixture(double silence_timeout = 15, SubscriptionOptions options = {}) {
     const auto nothing = *protocol::Json::parse("{}");
     limits = program::fill_limits(nothing, nothing);
-    limits.change_stream_read_size = 256, limits.change_stream_silence_timeout = silent,
+    limits.change_stream_read_size = 256, limits.change_stream_silence_timeout = silence_timeout,
     limits.change_stream_retry_delay = 0.001;
-    list.emplace(scheduler, limits, counters, log, std::vector<Endpoint>{{changes.address, "log"}}, 0,
-                 receiver, options);
-    list->start({});
-    until([&] { return changes.has_received("\r\n\r\n"); });
+    subscription.emplace(scheduler, limits, counters, log, std::vector<Endpoint>{{source.address, "log"}}, 0,
+                         receiver, options);
+    subscription->start({});
+    wait_until([&] { return source.has_received("\r\n\r\n"); });
   }
-  ~Slices() { std::fclose(sink); }
-  void until(const std::function<bool()>& holds) { REQUIRE(run_until(scheduler, holds)); }
-  static std::string events(int from, int to) {
+  ~SubscriptionFixture() { std::fclose(sink); }
+  void wait_until(const std::function<bool()>& condition) { REQUIRE(run_until(scheduler, condition)); }
+  static std::string events(int first, int last) {
     std::string text;
-    for (int number = from; number <= to; ++number)
+    for (int number = first; number <= last; ++number)
       text += "data: {\"seq\":" + std::to_string(number) + ",\"invalidate\":{\"bucket\":17,\"time\":1}}\n\n";
     return text;
   }
-  void send(std::size_t place, int from, int to) {
-    changes.connections[place]->send("HTTP/1.1 200 OK\r\n\r\n" + events(from, to));
+  void send(std::size_t index, int first, int last) {
+    source.connections[index]->send("HTTP/1.1 200 OK\r\n\r\n" + events(first, last));
   }
   Scheduler scheduler;
   Limits limits;
   Counters counters;
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
-  StandInServer changes{scheduler};
-  SlowReceiver receiver;
-  std::optional<Subscription> list;
+  StandInServer source{scheduler};
+  ManualReceiver receiver;
+  std::optional<Subscription> subscription;
 };
 }  // namespace
 
-TEST_CASE("the change stream: while a slice is out nothing is read, and that is no silence of the source") {
-  Slices site(0.02);
-  site.send(0, 1, 1000);
-  site.until([&] { return site.receiver.waiting.size() == 1; });
-  const std::size_t first = site.receiver.seen.size();
-  CHECK(first < 10);
-  const double began = Scheduler::now();  // five times the time after which a source counts as silent
-  site.until([&] { return Scheduler::now() > began + 0.1; });
-  CHECK(site.receiver.seen.size() == first);
-  CHECK(site.receiver.waiting.size() == 1);
-  CHECK(site.list->last() == 0);  // not yet taken in
-  CHECK(site.counters.log_silent == 0);
-  CHECK(site.changes.connections.size() == 1);
-  site.receiver.answer(true);
-  site.until([&] { return site.receiver.waiting.size() == 1; });
-  CHECK(site.list->last() == static_cast<long long>(first));
+TEST_CASE(
+    "subscription: nothing is read while the receiver holds a batch, and that does not count as silence") {
+  SubscriptionFixture fixture(0.02);
+  fixture.send(0, 1, 1000);
+  fixture.wait_until([&] { return fixture.receiver.pending.size() == 1; });
+  const std::size_t first_count = fixture.receiver.numbers.size();
+  CHECK(first_count < 10);
+  // Waits for five times the silence timeout.
+  const double start = Scheduler::now();
+  fixture.wait_until([&] { return Scheduler::now() > start + 0.1; });
+  CHECK(fixture.receiver.numbers.size() == first_count);
+  CHECK(fixture.receiver.pending.size() == 1);
+  CHECK(fixture.subscription->last() == 0);  // not yet processed
+  CHECK(fixture.counters.log_silent == 0);
+  CHECK(fixture.source.connections.size() == 1);
+  fixture.receiver.answer(true);
+  fixture.wait_until([&] { return fixture.receiver.pending.size() == 1; });
+  CHECK(fixture.subscription->last() == static_cast<long long>(first_count));
 }
 
-TEST_CASE("the change stream: what the receiver could not take in is asked for again, in order") {
-  Slices site;
-  site.send(0, 1, 20);
-  site.until([&] { return site.receiver.waiting.size() == 1; });
-  site.receiver.answer(true);
-  site.until([&] { return site.receiver.waiting.size() == 1; });
-  const long long taken = site.list->last();
-  CHECK(taken > 0);
-  site.receiver.answer(false);
-  const std::string again = "Last-Event-ID: " + std::to_string(taken) + "\r\n";
-  site.until([&] { return site.changes.has_connections(2) && site.changes.has_received(again, 1); });
-  site.receiver.seen.clear();
-  site.send(1, static_cast<int>(taken) + 1, 20);
-  while (site.list->last() < 20) {
-    site.until([&] { return !site.receiver.waiting.empty() || site.list->last() == 20; });
-    if (!site.receiver.waiting.empty()) site.receiver.answer(true);
+TEST_CASE("subscription: changes that the receiver failed to process are requested again, in order") {
+  SubscriptionFixture fixture;
+  fixture.send(0, 1, 20);
+  fixture.wait_until([&] { return fixture.receiver.pending.size() == 1; });
+  fixture.receiver.answer(true);
+  fixture.wait_until([&] { return fixture.receiver.pending.size() == 1; });
+  const long long last_accepted = fixture.subscription->last();
+  CHECK(last_accepted > 0);
+  fixture.receiver.answer(false);
+  const std::string resumed = "Last-Event-ID: " + std::to_string(last_accepted) + "\r\n";
+  fixture.wait_until(
+      [&] { return fixture.source.has_connections(2) && fixture.source.has_received(resumed, 1); });
+  fixture.receiver.numbers.clear();
+  fixture.send(1, static_cast<int>(last_accepted) + 1, 20);
+  while (fixture.subscription->last() < 20) {
+    fixture.wait_until(
+        [&] { return !fixture.receiver.pending.empty() || fixture.subscription->last() == 20; });
+    if (!fixture.receiver.pending.empty()) fixture.receiver.answer(true);
   }
-  for (std::size_t place = 0; place < site.receiver.seen.size(); ++place)
-    CHECK(site.receiver.seen[place] == taken + 1 + static_cast<long long>(place));
+  for (std::size_t index = 0; index < fixture.receiver.numbers.size(); ++index)
+    CHECK(fixture.receiver.numbers[index] == last_accepted + 1 + static_cast<long long>(index));
 }
 
-TEST_CASE("the change stream: a relay that refuses, ends or is silent is left for the next one") {
-  Slices site(0.03);
-  StandInServer second(site.scheduler), third(site.scheduler);
-  site.list->set_endpoints(
-      {{site.changes.address, "first"}, {second.address, "second"}, {third.address, "third"}});
-  site.changes.connections[0]->send("HTTP/1.1 503 Source Lost\r\nContent-Length: 0\r\n\r\n");
-  site.until([&] { return second.has_received("Last-Event-ID: 0"); });
-  second.connections[0]->send("HTTP/1.1 200 OK\r\n\r\n" + Slices::events(1, 2));
-  site.until([&] { return site.receiver.waiting.size() == 1; });
-  site.receiver.answer(true);
-  site.until([&] { return third.has_received("Last-Event-ID: 2\r\n"); });  // the second fell silent
-  CHECK(site.counters.log_silent >= 1);
+TEST_CASE("subscription: a relay that refuses, ends or is silent is replaced by the next one") {
+  SubscriptionFixture fixture(0.03);
+  StandInServer second(fixture.scheduler), third(fixture.scheduler);
+  fixture.subscription->set_endpoints(
+      {{fixture.source.address, "first"}, {second.address, "second"}, {third.address, "third"}});
+  fixture.source.connections[0]->send("HTTP/1.1 503 Source Lost\r\nContent-Length: 0\r\n\r\n");
+  fixture.wait_until([&] { return second.has_received("Last-Event-ID: 0"); });
+  second.connections[0]->send("HTTP/1.1 200 OK\r\n\r\n" + SubscriptionFixture::events(1, 2));
+  fixture.wait_until([&] { return fixture.receiver.pending.size() == 1; });
+  fixture.receiver.answer(true);
+  // The second one has sent nothing more.
+  fixture.wait_until([&] { return third.has_received("Last-Event-ID: 2\r\n"); });
+  CHECK(fixture.counters.log_silent >= 1);
   third.connections[0]->send("HTTP/1.1 200 OK\r\n\r\n");
   third.connections[0]->reset();
-  site.until(
-      [&] { return site.changes.has_received("Last-Event-ID: 2\r\n", site.changes.connections.size() - 1); });
+  fixture.wait_until([&] {
+    return fixture.source.has_received("Last-Event-ID: 2\r\n", fixture.source.connections.size() - 1);
+  });
 }
 
-TEST_CASE("the change stream: gzip is asked for, and decoded member by member as it comes") {
-  Slices site(15, {.compressed = true});
-  CHECK(site.changes.has_received("Accept-Encoding: gzip\r\n"));
-  const std::string members =
-      protocol::gzip(Slices::events(1, 3)) + protocol::gzip(":\n\n") + protocol::gzip(Slices::events(4, 5));
-  site.changes.connections[0]->send("HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\n\r\n");
+TEST_CASE("subscription: gzip is requested and decoded member by member as it arrives") {
+  SubscriptionFixture fixture(15, {.compressed = true});
+  CHECK(fixture.source.has_received("Accept-Encoding: gzip\r\n"));
+  const std::string members = protocol::gzip(SubscriptionFixture::events(1, 3)) + protocol::gzip(":\n\n") +
+                              protocol::gzip(SubscriptionFixture::events(4, 5));
+  fixture.source.connections[0]->send("HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\n\r\n");
   const auto answer_all = [&] {
-    while (!site.receiver.waiting.empty()) site.receiver.answer(true);
+    while (!fixture.receiver.pending.empty()) fixture.receiver.answer(true);
   };
-  for (std::size_t at = 0; at < members.size(); at += 7) {
-    site.changes.connections[0]->send(members.substr(at, 7));
-    const double sent = Scheduler::now();
-    site.until([&] { return answer_all(), Scheduler::now() > sent; });
+  for (std::size_t offset = 0; offset < members.size(); offset += 7) {
+    fixture.source.connections[0]->send(members.substr(offset, 7));
+    const double sent_at = Scheduler::now();
+    fixture.wait_until([&] { return answer_all(), Scheduler::now() > sent_at; });
   }
-  site.until([&] { return answer_all(), site.list->last() == 5; });
-  CHECK(site.receiver.seen == std::vector<long long>{1, 2, 3, 4, 5});
-  site.changes.connections[0]->send("this is no gzip member");
-  site.until([&] { return site.changes.has_connections(2); });
+  fixture.wait_until([&] { return answer_all(), fixture.subscription->last() == 5; });
+  CHECK(fixture.receiver.numbers == std::vector<long long>{1, 2, 3, 4, 5});
+  fixture.source.connections[0]->send("this is no gzip member");
+  fixture.wait_until([&] { return fixture.source.has_connections(2); });
 }
 
-TEST_CASE("the change stream: a source that began anew is followed only where that is asked for") {
-  const std::string list = "data: {\"seq\":1,\"fleet\":{\"full\":true,\"servers\":[]}}\n\n";
+TEST_CASE("subscription: a restarted source is followed only with restarts_followed") {
+  const std::string list_event = "data: {\"seq\":1,\"fleet\":{\"full\":true,\"servers\":[]}}\n\n";
   for (const bool followed : {false, true}) {
-    Slices site(15, {.restarts_followed = followed});
-    site.send(0, 1, 3);
-    site.until([&] { return site.receiver.waiting.size() == 1; });
-    site.receiver.answer(true);
-    site.until([&] { return site.list->last() == 3; });
-    site.changes.connections[0]->reset();
-    site.until([&] { return site.changes.has_received("Last-Event-ID: 3", 1); });
-    site.changes.connections[1]->send("HTTP/1.1 200 OK\r\n\r\n" + list + Slices::events(2, 2));
-    site.until([&] { return site.receiver.waiting.size() == 1; });
-    site.receiver.answer(true);
-    CHECK(site.receiver.seen ==
+    SubscriptionFixture fixture(15, {.restarts_followed = followed});
+    fixture.send(0, 1, 3);
+    fixture.wait_until([&] { return fixture.receiver.pending.size() == 1; });
+    fixture.receiver.answer(true);
+    fixture.wait_until([&] { return fixture.subscription->last() == 3; });
+    fixture.source.connections[0]->reset();
+    fixture.wait_until([&] { return fixture.source.has_received("Last-Event-ID: 3", 1); });
+    fixture.source.connections[1]->send("HTTP/1.1 200 OK\r\n\r\n" + list_event +
+                                        SubscriptionFixture::events(2, 2));
+    fixture.wait_until([&] { return fixture.receiver.pending.size() == 1; });
+    fixture.receiver.answer(true);
+    CHECK(fixture.receiver.numbers ==
           (followed ? std::vector<long long>{1, 2, 3, 1, 2} : std::vector<long long>{1, 2, 3}));
-    site.until([&] { return site.list->last() == (followed ? 2 : 3); });
+    fixture.wait_until([&] { return fixture.subscription->last() == (followed ? 2 : 3); });
   }
 }
 
-TEST_CASE("gzip: what is no gzip, or decodes to more than is taken, ends the decoder") {
+TEST_CASE("gzip: the decoder ends at data that is not gzip or that decodes to more than is accepted") {
   const auto take_all = [](std::string_view) { return true; };
   CHECK_FALSE(protocol::GzipDecoder().feed("plain words", take_all));
-  std::size_t taken = 0;
-  const std::string bomb = protocol::gzip(std::string(10'000'000, 'x'));
-  CHECK_FALSE(protocol::GzipDecoder().feed(bomb, [&](std::string_view piece) {
-    taken += piece.size();
-    return taken < 100'000;
+  std::size_t accepted_bytes = 0;
+  const std::string compressed = protocol::gzip(std::string(10'000'000, 'x'));
+  CHECK_FALSE(protocol::GzipDecoder().feed(compressed, [&](std::string_view piece) {
+    accepted_bytes += piece.size();
+    return accepted_bytes < 100'000;
   }));
-  CHECK(taken < 120'000);
+  CHECK(accepted_bytes < 120'000);
 }
--- a/tests/storage/disk_faults.cpp
+++ b/tests/storage/disk_faults.cpp
@@ -20,62 +20,62 @@
 struct State {
   std::mutex mutex;
   Script script;
-  int steps = 0, hits = 0;
+  int steps = 0, failures = 0;
 };
 
 State& state() {
-  static State made;
-  return made;
+  static State instance;
+  return instance;
 }
 
-std::atomic<bool> in_force{false};
+std::atomic<bool> injection_active{false};
 
-// What is to become of one call.
-enum class Verdict { kPass, kFail, kHalf, kDoThenFail };
+// How one intercepted call is to end.
+enum class CallOutcome { kPass, kFail, kHalf, kDoThenFail };
 
-bool below_folder(const std::string& path) { return path.starts_with(state().script.directory + "/"); }
+bool is_in_directory(const std::string& path) { return path.starts_with(state().script.directory + "/"); }
 
-bool descriptor_below_folder(int descriptor) {
+bool descriptor_is_in_directory(int descriptor) {
   char path[4096];
   const std::string link = "/proc/self/fd/" + std::to_string(descriptor);
   const ssize_t length = readlink(link.c_str(), path, sizeof path);
-  return length > 0 && below_folder(std::string(path, static_cast<std::size_t>(length)));
+  return length > 0 && is_in_directory(std::string(path, static_cast<std::size_t>(length)));
 }
 
-Verdict next_step() {
-  State& held = state();
-  const std::lock_guard lock(held.mutex);
-  const int step = ++held.steps;
-  const Script& script = held.script;
-  const bool in_script = step >= script.first_step && step <= script.last_step;
+CallOutcome count_step() {
+  State& shared = state();
+  const std::lock_guard lock(shared.mutex);
+  const int step = ++shared.steps;
+  const Script& script = shared.script;
+  const bool in_range = step >= script.first_step && step <= script.last_step;
   const bool fails_after = step > script.last_step && script.last_step > 0 && step <= script.fails_until;
-  if (!in_script && !fails_after) return Verdict::kPass;
-  ++held.hits;
-  if (fails_after) return Verdict::kFail;
+  if (!in_range && !fails_after) return CallOutcome::kPass;
+  ++shared.failures;
+  if (fails_after) return CallOutcome::kFail;
   switch (script.effect) {
     case Effect::kFails:
-      return Verdict::kFail;
+      return CallOutcome::kFail;
     case Effect::kWritesHalf:
-      return Verdict::kHalf;
+      return CallOutcome::kHalf;
     case Effect::kDoneButFails:
-      return Verdict::kDoThenFail;
+      return CallOutcome::kDoThenFail;
     case Effect::kKills:
       _exit(0);
   }
-  return Verdict::kPass;
+  return CallOutcome::kPass;
 }
 
-Verdict verdict_on(int descriptor) {
-  if (!in_force.load() || !descriptor_below_folder(descriptor)) return Verdict::kPass;
-  return next_step();
+CallOutcome outcome_for(int descriptor) {
+  if (!injection_active.load() || !descriptor_is_in_directory(descriptor)) return CallOutcome::kPass;
+  return count_step();
 }
 
-void note_sync() {
-  State& held = state();
-  const std::lock_guard lock(held.mutex);
-  if (!held.script.after_first_sync || held.script.first_step != kNeverReached) return;
-  held.script.first_step = held.steps + 1;
-  held.script.last_step = held.steps + 1;
+void record_sync() {
+  State& shared = state();
+  const std::lock_guard lock(shared.mutex);
+  if (!shared.script.after_first_sync || shared.script.first_step != kNeverReached) return;
+  shared.script.first_step = shared.steps + 1;
+  shared.script.last_step = shared.steps + 1;
 }
 
 template <class Result>
@@ -84,48 +84,48 @@
   return static_cast<Result>(-1);
 }
 
-// Runs a call that writes so many bytes, by a function of how many it may write.
+// Runs a call that writes a number of bytes. write performs the call for the number of bytes that is allowed.
 template <class Write>
-ssize_t write_some(int descriptor, std::size_t bytes, const Write& write) {
-  switch (verdict_on(descriptor)) {
-    case Verdict::kPass:
+ssize_t run_write(int descriptor, std::size_t bytes, const Write& write) {
+  switch (outcome_for(descriptor)) {
+    case CallOutcome::kPass:
       return write(bytes);
-    case Verdict::kHalf:
+    case CallOutcome::kHalf:
       return bytes < 2 ? failed<ssize_t>() : write(bytes / 2);
-    case Verdict::kDoThenFail:
+    case CallOutcome::kDoThenFail:
       write(bytes);
       return failed<ssize_t>();
-    case Verdict::kFail:
+    case CallOutcome::kFail:
       break;
   }
   return failed<ssize_t>();
 }
 
-// Runs a call that is done whole or not at all.
+// Runs a call that either takes effect completely or not at all.
 template <class Work>
-int do_whole(Verdict verdict, const Work& work) {
-  if (verdict == Verdict::kPass) return work();
-  if (verdict == Verdict::kDoThenFail) work();
+int run_atomic(CallOutcome outcome, const Work& work) {
+  if (outcome == CallOutcome::kPass) return work();
+  if (outcome == CallOutcome::kDoThenFail) work();
   return failed<int>();
 }
 
 template <class Function>
-Function* next_of(const char* name) {
+Function* next_definition(const char* name) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
 
 }  // namespace
 
 Injection::Injection(const Script& script) {
-  State& held = state();
-  const std::lock_guard lock(held.mutex);
-  held.script = script;
-  held.steps = 0;
-  held.hits = 0;
-  in_force = true;
+  State& shared = state();
+  const std::lock_guard lock(shared.mutex);
+  shared.script = script;
+  shared.steps = 0;
+  shared.failures = 0;
+  injection_active = true;
 }
 
-Injection::~Injection() { in_force = false; }
+Injection::~Injection() { injection_active = false; }
 
 int Injection::steps() const {
   const std::lock_guard lock(state().mutex);
@@ -134,102 +134,106 @@
 
 int Injection::failures() const {
   const std::lock_guard lock(state().mutex);
-  return state().hits;
+  return state().failures;
 }
 
 }  // namespace disk_faults
 
-using disk_faults::do_whole;
-using disk_faults::next_of;
-using disk_faults::verdict_on;
-using disk_faults::write_some;
+using disk_faults::next_definition;
+using disk_faults::outcome_for;
+using disk_faults::run_atomic;
+using disk_faults::run_write;
 
-// The names of the C library, found first by whatever this program loads.
+// Definitions under the names of the C library. The dynamic linker resolves the calls of all libraries that
+// this program loads to them.
 extern "C" {
 
 ssize_t write(int descriptor, const void* bytes, size_t count) {
-  static auto* const next = next_of<ssize_t(int, const void*, size_t)>("write");
-  return write_some(descriptor, count, [&](std::size_t some) { return next(descriptor, bytes, some); });
+  static auto* const next = next_definition<ssize_t(int, const void*, size_t)>("write");
+  return run_write(descriptor, count, [&](std::size_t allowed) { return next(descriptor, bytes, allowed); });
 }
 
-ssize_t pwrite(int descriptor, const void* bytes, size_t count, off_t at) {
-  static auto* const next = next_of<ssize_t(int, const void*, size_t, off_t)>("pwrite");
-  return write_some(descriptor, count, [&](std::size_t some) { return next(descriptor, bytes, some, at); });
+ssize_t pwrite(int descriptor, const void* bytes, size_t count, off_t offset) {
+  static auto* const next = next_definition<ssize_t(int, const void*, size_t, off_t)>("pwrite");
+  return run_write(descriptor, count,
+                   [&](std::size_t allowed) { return next(descriptor, bytes, allowed, offset); });
 }
 
-ssize_t pwrite64(int descriptor, const void* bytes, size_t count, off64_t at) {
-  return pwrite(descriptor, bytes, count, at);
+ssize_t pwrite64(int descriptor, const void* bytes, size_t count, off64_t offset) {
+  return pwrite(descriptor, bytes, count, offset);
 }
 
-// Half of a vector of several parts is its first part; of one part, half of that.
-ssize_t pwritev(int descriptor, const iovec* parts, int count, off_t at) {
-  static auto* const next = next_of<ssize_t(int, const iovec*, int, off_t)>("pwritev");
+// A vector with several parts is halved by writing at most its first part; one with a single part by writing
+// half of that part.
+ssize_t pwritev(int descriptor, const iovec* parts, int count, off_t offset) {
+  static auto* const next = next_definition<ssize_t(int, const iovec*, int, off_t)>("pwritev");
   std::size_t bytes = 0;
   for (int i = 0; i < count; ++i) bytes += parts[i].iov_len;
-  return write_some(descriptor, bytes, [&](std::size_t some) {
-    if (some == bytes) return next(descriptor, parts, count, at);
-    const iovec less{parts[0].iov_base, std::min(parts[0].iov_len, some)};
-    return next(descriptor, &less, 1, at);
+  return run_write(descriptor, bytes, [&](std::size_t allowed) {
+    if (allowed == bytes) return next(descriptor, parts, count, offset);
+    const iovec shortened{parts[0].iov_base, std::min(parts[0].iov_len, allowed)};
+    return next(descriptor, &shortened, 1, offset);
   });
 }
 
 ssize_t writev(int descriptor, const iovec* parts, int count) {
-  static auto* const next = next_of<ssize_t(int, const iovec*, int)>("writev");
+  static auto* const next = next_definition<ssize_t(int, const iovec*, int)>("writev");
   std::size_t bytes = 0;
   for (int i = 0; i < count; ++i) bytes += parts[i].iov_len;
-  return write_some(descriptor, bytes, [&](std::size_t some) {
-    if (some == bytes) return next(descriptor, parts, count);
-    const iovec less{parts[0].iov_base, std::min(parts[0].iov_len, some)};
-    return next(descriptor, &less, 1);
+  return run_write(descriptor, bytes, [&](std::size_t allowed) {
+    if (allowed == bytes) return next(descriptor, parts, count);
+    const iovec shortened{parts[0].iov_base, std::min(parts[0].iov_len, allowed)};
+    return next(descriptor, &shortened, 1);
   });
 }
 
 int ftruncate(int descriptor, off_t length) noexcept {
-  static auto* const next = next_of<int(int, off_t)>("ftruncate");
-  return do_whole(verdict_on(descriptor), [&] { return next(descriptor, length); });
+  static auto* const next = next_definition<int(int, off_t)>("ftruncate");
+  return run_atomic(outcome_for(descriptor), [&] { return next(descriptor, length); });
 }
 
 int ftruncate64(int descriptor, off64_t length) noexcept { return ftruncate(descriptor, length); }
 
 int fdatasync(int descriptor) {
-  static auto* const next = next_of<int(int)>("fdatasync");
-  const auto verdict = verdict_on(descriptor);
-  if (disk_faults::in_force.load()) disk_faults::note_sync();
-  return do_whole(verdict, [&] { return next(descriptor); });
+  static auto* const next = next_definition<int(int)>("fdatasync");
+  const auto outcome = outcome_for(descriptor);
+  if (disk_faults::injection_active.load()) disk_faults::record_sync();
+  return run_atomic(outcome, [&] { return next(descriptor); });
 }
 
 int fsync(int descriptor) {
-  static auto* const next = next_of<int(int)>("fsync");
-  return do_whole(verdict_on(descriptor), [&] { return next(descriptor); });
+  static auto* const next = next_definition<int(int)>("fsync");
+  return run_atomic(outcome_for(descriptor), [&] { return next(descriptor); });
 }
 
-int msync(void* at, size_t bytes, int flags) {
-  static auto* const next = next_of<int(void*, size_t, int)>("msync");
-  return next(at, bytes, flags);  // neither library writes through its map: passed on
+int msync(void* address, size_t bytes, int flags) {
+  static auto* const next = next_definition<int(void*, size_t, int)>("msync");
+  return next(address, bytes, flags);  // no faults: neither library writes through its memory map
 }
 
 int open(const char* path, int flags, ...) {
-  static auto* const next = next_of<int(const char*, int, ...)>("open");
+  static auto* const next = next_definition<int(const char*, int, ...)>("open");
   mode_t mode = 0;
   if (flags & (O_CREAT | O_TMPFILE)) {
-    va_list rest;
-    va_start(rest, flags);
-    mode = va_arg(rest, mode_t);
-    va_end(rest);
+    va_list arguments;
+    va_start(arguments, flags);
+    mode = va_arg(arguments, mode_t);
+    va_end(arguments);
   }
-  const bool counts = disk_faults::in_force.load() && (flags & O_CREAT) && disk_faults::below_folder(path);
-  const auto verdict = counts ? disk_faults::next_step() : disk_faults::Verdict::kPass;
-  if (verdict != disk_faults::Verdict::kPass) return disk_faults::failed<int>();
+  const bool is_counted =
+      disk_faults::injection_active.load() && (flags & O_CREAT) && disk_faults::is_in_directory(path);
+  const auto outcome = is_counted ? disk_faults::count_step() : disk_faults::CallOutcome::kPass;
+  if (outcome != disk_faults::CallOutcome::kPass) return disk_faults::failed<int>();
   return next(path, flags, mode);
 }
 
 int open64(const char* path, int flags, ...) {
   mode_t mode = 0;
   if (flags & (O_CREAT | O_TMPFILE)) {
-    va_list rest;
-    va_start(rest, flags);
-    mode = va_arg(rest, mode_t);
-    va_end(rest);
+    va_list arguments;
+    va_start(arguments, flags);
+    mode = va_arg(arguments, mode_t);
+    va_end(arguments);
   }
   return open(path, flags | O_LARGEFILE, mode);
 }
