--- a/src/distribution/snapshot.hpp
+++ b/src/distribution/snapshot.hpp
@@ -34,8 +34,8 @@
   std::size_t purge_count() const { return purges_.size(); }
 
   // Encodes the events after the cursor that still apply, in order and under their original numbers. The
-  // complete node list has the number of the last node change. last: the last number of the stream, which
-  // becomes the subscriber's cursor, so that it skips the events left out.
+  // complete node list has the number of the last node change. last: the number that becomes the
+  // subscriber's cursor, so that the cursor also passes the events left out.
   EncodedChunk encode_after(long long cursor, long long last) const;
   // The smallest number in the snapshot: every cursor below it gets the same snapshot.
   long long oldest_number() const;
--- a/src/distribution/subscription.cpp
+++ b/src/distribution/subscription.cpp
@@ -19,7 +19,7 @@
 using transport::Task;
 
 namespace {
-constexpr Seconds kBatchPollInterval = 0.001;     // s; the receiver usually needs less for a batch
+constexpr Seconds kBatchPollInterval = 0.001;     // s; a batch usually takes the receiver less
 constexpr std::size_t kMaxEventsPerBatch = 4096;  // more events in one read: not a change stream
 constexpr int kMaxBackoffDoublings = 10;          // of the delay between attempts
 }  // namespace
--- a/src/storage/spool.cpp
+++ b/src/storage/spool.cpp
@@ -323,8 +323,8 @@
     Transaction transaction(environment_->handle, 0);
     for (const SpoolEntry& entry : entries) {
       const std::string key = key_of(entry.number), value = value_of(entry);
-      MDB_val raw_key = mdb_value(key), raw_value = mdb_value(value);
-      check_code(mdb_put(transaction, environment_->messages, &raw_key, &raw_value, MDB_NOOVERWRITE));
+      MDB_val mdb_key = mdb_value(key), mdb_data = mdb_value(value);
+      check_code(mdb_put(transaction, environment_->messages, &mdb_key, &mdb_data, MDB_NOOVERWRITE));
     }
     if (environment_->used_share(transaction) > kTrimThreshold) {
       Cursor cursor(transaction, environment_->messages);
@@ -383,8 +383,8 @@
   return environment_->run_operation(error, [&] {
     Transaction transaction(environment_->handle, 0);
     const std::string value = key_of(next);
-    MDB_val raw_key = mdb_value(reader), raw_value = mdb_value(value);
-    check_code(mdb_put(transaction, environment_->cursors, &raw_key, &raw_value, 0));
+    MDB_val mdb_key = mdb_value(reader), mdb_data = mdb_value(value);
+    check_code(mdb_put(transaction, environment_->cursors, &mdb_key, &mdb_data, 0));
     environment_->commit(transaction, {});
   });
 }
