--- a/src/distribution/relay_actor.cpp
+++ b/src/distribution/relay_actor.cpp
@@ -11,8 +11,8 @@
 
 namespace hareramp::distribution {
 
-using transport::Io;
-using transport::IoEnd;
+using transport::IoResult;
+using transport::IoStatus;
 using transport::Scheduler;
 using transport::Seconds;
 using transport::Socket;
@@ -35,9 +35,9 @@
     target = second;
   }
   void header(std::string_view name, std::string_view value) override {
-    if (protocol::same_name(name, "last-event-id"))
+    if (protocol::equal_ignoring_case(name, "last-event-id"))
       std::from_chars(value.data(), value.data() + value.size(), cursor);
-    if (protocol::same_name(name, "accept-encoding"))
+    if (protocol::equal_ignoring_case(name, "accept-encoding"))
       compressed = value.find("gzip") != std::string_view::npos;
   }
   void body(std::string_view) override {}
@@ -113,12 +113,12 @@
 Task<> RelayActor::accept_subscribers(RelayActor& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end != transport::Listener::End::kTaken) {
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status != transport::Listener::Status::kAccepted) {
       co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_retry_delay);
       continue;
     }
-    accepted.socket.bound_unsent(kUnsentMost);
+    accepted.socket.limit_send_buffer(kUnsentMost);
     bound_unacknowledged(accepted.socket, self.settings_.stalled);
     self.scheduler_.spawn(
         serve(self, std::make_shared<Session>(++self.last_id_, std::move(accepted.socket))));
@@ -147,7 +147,7 @@
   transport::Buffer in(kReadRoom);
   auto step = protocol::HttpParser::Step::kMore;
   while (step == protocol::HttpParser::Step::kMore) {
-    const Io io = co_await session->socket.read(in, kReadRoom, until);
+    const IoResult io = co_await session->socket.read(in, kReadRoom, until);
     if (!io.ok()) co_return;
     do {
       std::size_t used = 0;
@@ -211,7 +211,7 @@
   const auto found = sessions_.find(refuse.id);
   if (found == sessions_.end()) return;
   found->second->socket.write_now(plain_answer(words_of(refuse.why)));
-  found->second->socket.finish();
+  found->second->socket.shutdown_write();
   scheduler_.at(Scheduler::now() + limits_.linger_timeout,
                 [session = found->second] { session->socket.close(); });
 }
@@ -219,16 +219,17 @@
 void RelayActor::carry_out(const Give& give) {
   const auto found = sessions_.find(give.id);
   if (found == sessions_.end()) return;
-  const Io io = found->second->socket.write_now(*give.bytes);
+  const IoResult io = found->second->socket.write_now(*give.bytes);
   ++writes_;
   bytes_given_ += io.bytes;
   if (io.ok()) return post(PieceTaken{give.id});
-  if (io.end == IoEnd::kTimedOut) scheduler_.spawn(write_rest(*this, found->second, give.bytes, io.bytes));
+  if (io.status == IoStatus::kTimedOut)
+    scheduler_.spawn(write_rest(*this, found->second, give.bytes, io.bytes));
 }
 
 Task<> RelayActor::write_rest(RelayActor& self, SessionPointer session, SharedBytes bytes, std::size_t from) {
   const std::string_view rest = std::string_view(*bytes).substr(from);
-  const Io io = co_await session->socket.write(rest, Scheduler::now() + 2 * self.settings_.stalled);
+  const IoResult io = co_await session->socket.write(rest, Scheduler::now() + 2 * self.settings_.stalled);
   ++self.writes_;
   self.bytes_given_ += io.bytes;
   if (io.ok()) self.post(PieceTaken{session->id});
--- a/src/distribution/subscription.cpp
+++ b/src/distribution/subscription.cpp
@@ -12,8 +12,8 @@
 
 namespace hareramp::distribution {
 
-using transport::Io;
-using transport::IoEnd;
+using transport::IoResult;
+using transport::IoStatus;
 using transport::Scheduler;
 using transport::Seconds;
 using transport::Task;
@@ -71,7 +71,7 @@
       owner_.log_.info("change_log_followed", "change log: followed again, after event {}", owner_.last_);
   }
   void header(std::string_view name, std::string_view value) override {
-    if (protocol::same_name(name, "content-encoding") && value == "gzip")
+    if (protocol::equal_ignoring_case(name, "content-encoding") && value == "gzip")
       decoder_ = std::make_unique<protocol::GzipDecoder>();
   }
   void body(std::string_view piece) override {
@@ -86,7 +86,7 @@
     auto change = protocol::Json::parse(data);
     long long number = 0;
     std::from_chars(id.data(), id.data() + id.size(), number);
-    if (change && (*change)["seq"].whole()) number = *(*change)["seq"].whole();
+    if (change && (*change)["seq"].integer()) number = *(*change)["seq"].integer();
     slice_.push_back({number, std::move(change)});
   }
 
@@ -124,9 +124,10 @@
   if (stopped_) co_return;
   const Endpoint endpoint = owner_.endpoints_[owner_.place_];
   const Seconds until = Scheduler::now() + owner_.silent_after();
-  transport::Connected connected = co_await transport::connect(owner_.scheduler_, endpoint.address, until);
+  transport::ConnectResult connected =
+      co_await transport::connect(owner_.scheduler_, endpoint.address, until);
   if (stopped_) co_return;
-  if (connected.end != transport::ConnectEnd::kUp) {
+  if (connected.status != transport::ConnectStatus::kConnected) {
     owner_.troubled("no connection");
     co_return;
   }
@@ -136,7 +137,7 @@
                             "\r\nAccept: text/event-stream\r\n" +
                             (owner_.options_.compressed ? "Accept-Encoding: gzip\r\n" : "") +
                             "Last-Event-ID: " + std::to_string(owner_.last_) + "\r\n\r\n";
-  const Io sent = co_await socket_.write(asked, until);
+  const IoResult sent = co_await socket_.write(asked, until);
   if (!sent.ok()) co_return;
   protocol::HttpParser parser(protocol::HttpParser::Message::kResponse,
                               {limits.max_head, std::numeric_limits<std::size_t>::max()});
@@ -147,10 +148,10 @@
   first_slice_ = true;
   transport::Buffer in(limits.change_stream_read_size);
   for (;;) {
-    const Io io =
+    const IoResult io =
         co_await socket_.read(in, limits.change_stream_read_size, Scheduler::now() + owner_.silent_after());
     if (stopped_) co_return;
-    if (io.end == IoEnd::kTimedOut) {
+    if (io.status == IoStatus::kTimedOut) {
       ++owner_.counters_.log_silent;
       owner_.troubled("silent");
     }
@@ -239,7 +240,7 @@
                                  const std::shared_ptr<Connection>& connection) {
   const Event& first = events.front();
   if (options_.restarts_followed && first_of_connection && first.number > 0 && first.number <= received_ &&
-      first.change && (*first.change)["fleet"]["full"].truth()) {
+      first.change && (*first.change)["fleet"]["full"].boolean()) {
     log_.warning("change_log_restarted", "change log: began anew at event {}, after event {}", first.number,
                  last_);
     last_ = received_ = first.number - 1;
--- a/src/storage/worker.cpp
+++ b/src/storage/worker.cpp
@@ -10,10 +10,10 @@
 
 namespace hareramp::storage {
 
-using transport::Call;
+using transport::Callback;
 using transport::kNever;
 using transport::Task;
-using transport::Wake;
+using transport::WaitResult;
 
 Worker::Worker(transport::Scheduler& scheduler, std::size_t most_waiting)
     : scheduler_(scheduler), most_waiting_(most_waiting) {}
@@ -29,7 +29,7 @@
   if (bell_ >= 0) ::close(bell_);
 }
 
-bool Worker::post(Call job, Call done) {
+bool Worker::post(Callback job, Callback done) {
   if (out_ >= most_waiting_) return false;
   if (bell_ < 0) {
     bell_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
@@ -72,15 +72,15 @@
   for (;;) {
     std::uint64_t rung = 0;
     if (::read(self.bell_, &rung, sizeof rung) < 0) {
-      if (co_await self.watch_->readable(kNever) == Wake::kClosed) co_return;
+      if (co_await self.watch_->readable(kNever) == WaitResult::kClosed) co_return;
       continue;
     }
-    std::deque<Call> finished;
+    std::deque<Callback> finished;
     {
       const std::lock_guard lock(self.mutex_);
       finished.swap(self.finished_);
     }
-    for (Call& done : finished) {
+    for (Callback& done : finished) {
       --self.out_;
       self.scheduler_.run_guarded(done);
     }
