--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -45,7 +45,7 @@
     transport::Listener listener(scheduler_, *transport::Address::parse(at), 64);
     for (;;) {
       auto accepted = co_await listener.accept();
-      if (accepted.end == transport::Listener::End::kTaken)
+      if (accepted.status == transport::Listener::Status::kAccepted)
         scheduler_.spawn((this->*role)(std::move(accepted.socket)));
     }
   }
@@ -56,7 +56,7 @@
     std::size_t after = 0;
     void start_line(std::string_view, std::string_view what) override { target = what; }
     void header(std::string_view name, std::string_view value) override {
-      if (protocol::same_name(name, "last-event-id"))
+      if (protocol::equal_ignoring_case(name, "last-event-id"))
         std::from_chars(value.data(), value.data() + value.size(), after);
     }
     void body(std::string_view) override {}
@@ -78,7 +78,7 @@
       std::erase_if(held_, [&](const std::string& unit) { return unit.starts_with(object + "/"); });
       events_.push_back(fmt::format(R"({{"seq":{},"invalidate":{{"object":"{}","time":{:.0f}}}}})",
                                     events_.size() + 1, object, transport::Clock::unix_now() * 1000));
-      co_await socket.write(protocol::http_answer(200, "", 7, false) + "purged\n", transport::kNever);
+      co_await socket.write(protocol::http_response_head(200, "", 7, false) + "purged\n", transport::kNever);
       co_return;
     }
     std::string text = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
--- a/experiments/capacity/recorder.cpp
+++ b/experiments/capacity/recorder.cpp
@@ -31,7 +31,7 @@
 
 void Recorder::note(const protocol::Json& purge) {
   ObjectId object;
-  if (!protocol::read_object(purge["object"].text(), object)) return;
+  if (!protocol::parse_object_id(purge["object"].text(), object)) return;
   const std::uint64_t number = purge_of_object(object.value);
   if (number == 0 || number > kPurgesMost) return;  // of a backlog: not one of those watched
   if (record_.seen.size() <= number) record_.seen.resize(number + 1);
--- a/experiments/capacity/roles.cpp
+++ b/experiments/capacity/roles.cpp
@@ -129,7 +129,7 @@
   StreamSource source(scheduler, role.listen, role.nodes, entries);
   if (!role.backlog_later) append_backlog(source, role);
   bool stopped = false;
-  transport::Signals signals(scheduler, {SIGUSR1, SIGUSR2, SIGTERM, SIGHUP, SIGALRM});
+  transport::SignalSet signals(scheduler, {SIGUSR1, SIGUSR2, SIGTERM, SIGHUP, SIGALRM});
   print("listening " + source.address().text());
   const auto steer = [&]() -> Task<> {
     for (;;) {
@@ -166,7 +166,7 @@
   std::FILE* null = std::fopen("/dev/null", "w");
   Log log(fileno(null));
   std::vector<std::unique_ptr<SimulatedDirector>> directors;
-  transport::Signals signals(scheduler, {SIGUSR1, SIGUSR2, SIGTERM});
+  transport::SignalSet signals(scheduler, {SIGUSR1, SIGUSR2, SIGTERM});
   LatencyCounts latencies;
   std::uint64_t late_turns = 0;
   scheduler.on_late = [&](double) { ++late_turns; };
--- a/experiments/capacity/stream_source.cpp
+++ b/experiments/capacity/stream_source.cpp
@@ -27,7 +27,7 @@
   long long last_event = 0;
   void start_line(std::string_view, std::string_view) override {}
   void header(std::string_view name, std::string_view value) override {
-    if (protocol::same_name(name, "last-event-id"))
+    if (protocol::equal_ignoring_case(name, "last-event-id"))
       std::from_chars(value.data(), value.data() + value.size(), last_event);
   }
   void body(std::string_view) override {}
@@ -87,8 +87,8 @@
 Task<> StreamSource::accept_subscribers(StreamSource& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end != transport::Listener::End::kTaken) continue;
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status != transport::Listener::Status::kAccepted) continue;
     ++self.use_.accepted;
     self.scheduler_.spawn(serve(self, std::move(accepted.socket)));
   }
@@ -125,7 +125,7 @@
   const bool known = request.last_event >= 0 && request.last_event <= self.last();
   auto cursor = static_cast<std::size_t>(known ? request.last_event : 0);
   double commented = Scheduler::now();
-  while (up && !socket.ended()) {
+  while (up && !socket.closed_by_peer()) {
     const std::size_t at = self.offsets_[cursor];
     if (at < self.encoded_.size()) {
       const std::string piece = self.encoded_.substr(at, kLargestWrite);
--- a/experiments/fleet_size/change_source.cpp
+++ b/experiments/fleet_size/change_source.cpp
@@ -34,8 +34,8 @@
 Task<> ChangeSource::accept_subscribers(ChangeSource& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end == transport::Listener::End::kTaken)
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status == transport::Listener::Status::kAccepted)
       self.scheduler_.spawn(serve(self, std::move(accepted.socket)));
   }
 }
--- a/experiments/fleet_size/node_stand_ins.cpp
+++ b/experiments/fleet_size/node_stand_ins.cpp
@@ -45,8 +45,8 @@
 Task<> NodeStandIns::accept_connections(NodeStandIns& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end != transport::Listener::End::kTaken) continue;
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status != transport::Listener::Status::kAccepted) continue;
     const auto own = transport::Address::own(accepted.socket.descriptor());
     const auto node = own ? Site::node_at(*own) : std::nullopt;
     if (!node || *node >= static_cast<int>(self.states_.size())) continue;
--- a/experiments/fleet_size/traffic.cpp
+++ b/experiments/fleet_size/traffic.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kReadRoom = 4096;
 constexpr double kDeadline = 3.0;      // s, of a request
 constexpr double kAnswerMargin = 0.5;  // s past it until an answer counts as missing
-constexpr protocol::HttpBounds kAnswerBounds = {.head_bytes = 16384, .body_bytes = 1 << 20};
+constexpr protocol::HttpLimits kAnswerBounds = {.head_bytes = 16384, .body_bytes = 1 << 20};
 
 struct AnswerHead : protocol::HttpHandler {
   int status = 0;
@@ -72,7 +72,7 @@
   while (!self.idle_.empty() && !connection.socket.open()) {
     connection = std::move(self.idle_.back());
     self.idle_.pop_back();
-    if (connection.socket.ended()) connection.socket.close();
+    if (connection.socket.closed_by_peer()) connection.socket.close();
   }
   const double until = Scheduler::now() + kDeadline;
   if (!connection.socket.open())
--- a/experiments/rig/fleet.cpp
+++ b/experiments/rig/fleet.cpp
@@ -48,7 +48,8 @@
     std::from_chars(first.data(), first.data() + first.size(), status);
   }
   void header(std::string_view name, std::string_view value) override {
-    if (protocol::same_name(name, "x-pushback-ms")) advice = std::atof(std::string(value).c_str()) / 1000;
+    if (protocol::equal_ignoring_case(name, "x-pushback-ms"))
+      advice = std::atof(std::string(value).c_str()) / 1000;
   }
   void body(std::string_view) override {}
 };
@@ -256,8 +257,8 @@
 Task<> Fleet::tell(Fleet& self) {
   for (;;) {
     auto accepted = co_await self.log_->accept();
-    if (accepted.end == Listener::End::kClosed) co_return;
-    if (accepted.end == Listener::End::kTaken)
+    if (accepted.status == Listener::Status::kClosed) co_return;
+    if (accepted.status == Listener::Status::kAccepted)
       self.scheduler_.spawn(feed_one(self, std::move(accepted.socket)));
   }
 }
@@ -301,8 +302,8 @@
   Listener* listener = node.listener.get();
   for (;;) {
     auto accepted = co_await listener->accept();
-    if (accepted.end == Listener::End::kClosed || life != node.life) co_return;
-    if (accepted.end != Listener::End::kTaken) continue;
+    if (accepted.status == Listener::Status::kClosed || life != node.life) co_return;
+    if (accepted.status != Listener::Status::kAccepted) continue;
     auto socket = std::make_shared<Socket>(std::move(accepted.socket));
     std::erase_if(node.sockets, [](const auto& held) { return held.expired(); });
     node.sockets.push_back(socket);
@@ -494,7 +495,7 @@
   const double wait = write ? plan_.write_stop : plan_.read_stop, stop = Scheduler::now() + wait;
   const std::string who = fmt::format("d{}", director);
   auto connected = co_await transport::connect(scheduler_, fronts_[director]->address(), stop);
-  if (connected.end != transport::ConnectEnd::kUp) co_return 0;
+  if (connected.status != transport::ConnectStatus::kConnected) co_return 0;
   Socket socket = std::move(connected.socket);
   const std::string body = write ? "sorted" : "";
   const std::string text = fmt::format(
@@ -526,7 +527,7 @@
     }
     if (answers == 0)
       history_.add({.at = now(), .what = "unanswered", .request = request, .id = id, .who = who});
-    if (io.end == transport::IoEnd::kTimedOut && draw_keeps_open())
+    if (io.status == transport::IoStatus::kTimedOut && draw_keeps_open())
       scheduler_.spawn(keep_open(*this, std::move(socket)));
     break;
   }
--- a/experiments/rig/relay.cpp
+++ b/experiments/rig/relay.cpp
@@ -4,7 +4,7 @@
 
 namespace hareramp::rig {
 
-using transport::IoEnd;
+using transport::IoStatus;
 using transport::kNever;
 using transport::Scheduler;
 using transport::Task;
@@ -32,8 +32,8 @@
 Task<> Relay::take(Relay& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end != transport::Listener::End::kTaken) continue;
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status != transport::Listener::Status::kAccepted) continue;
     ++self.taken_;
     auto pair = std::make_shared<Pair>();
     pair->near = std::move(accepted.socket);
@@ -46,7 +46,7 @@
 Task<> Relay::join(Relay& self, std::shared_ptr<Pair> pair) {
   while (self.there.cut) co_await self.scheduler_.sleep_until(Scheduler::now() + kLook);
   auto connected = co_await transport::connect(self.scheduler_, self.to_, Scheduler::now() + kConnect);
-  if (connected.end != transport::ConnectEnd::kUp) {
+  if (connected.status != transport::ConnectStatus::kConnected) {
     pair->near.abort();
     co_return;
   }
@@ -66,8 +66,8 @@
     while (way.cut && from.open() && to.open())
       co_await self.scheduler_.sleep_until(Scheduler::now() + kLook);
     if (!from.open() || !to.open()) co_return;
-    if (io.end == IoEnd::kEnded) {
-      to.finish();
+    if (io.status == IoStatus::kEndOfStream) {
+      to.shutdown_write();
       co_return;
     }
     if (!io.ok() || !(co_await to.write(in.view(), kNever)).ok()) {
--- a/experiments/rig/world.cpp
+++ b/experiments/rig/world.cpp
@@ -35,8 +35,8 @@
 Task<> Node::take(Node& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end == transport::Listener::End::kTaken)
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status == transport::Listener::Status::kAccepted)
       self.scheduler_.spawn(talk(self, std::make_shared<Socket>(std::move(accepted.socket))));
   }
 }
@@ -82,8 +82,8 @@
 Task<> QuietChangeLog::take(QuietChangeLog& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end == transport::Listener::End::kTaken)
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status == transport::Listener::Status::kAccepted)
       self.scheduler_.spawn(talk(self, std::move(accepted.socket)));
   }
 }
@@ -112,7 +112,7 @@
 
 Task<bool> Client::connect() {
   auto connected = co_await transport::connect(scheduler_, director_, Scheduler::now() + 2, &from_);
-  if (connected.end != transport::ConnectEnd::kUp) co_return false;
+  if (connected.status != transport::ConnectStatus::kConnected) co_return false;
   socket_ = std::move(connected.socket);
   ++tally_.connections;
   in_.consume(in_.size());
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -64,15 +64,15 @@
 Log::Log(int descriptor) {
   logger_ = std::make_unique<spdlog::logger>("hareramp", std::make_shared<PatientSink>(descriptor));
   logger_->set_error_handler([](const std::string&) {});  // there is nowhere left to say it
-  use(LogForm::kText, LogLevel::kInfo);
+  configure(LogFormat::kText, LogLevel::kInfo);
 }
 
 Log::~Log() = default;
 
-void Log::use(LogForm form, LogLevel least) {
-  form_ = form;
+void Log::configure(LogFormat form, LogLevel least) {
+  format_ = form;
   const char* pattern =
-      form == LogForm::kText ? "%Y-%m-%dT%H:%M:%SZ %v" : "{\"time\":\"%Y-%m-%dT%H:%M:%S.%eZ\",%v}";
+      form == LogFormat::kText ? "%Y-%m-%dT%H:%M:%SZ %v" : "{\"time\":\"%Y-%m-%dT%H:%M:%S.%eZ\",%v}";
   logger_->set_formatter(
       std::make_unique<spdlog::pattern_formatter>(pattern, spdlog::pattern_time_type::utc, "\n"));
   logger_->set_level(spdlog_level(least));
@@ -85,7 +85,7 @@
   if (!sink.takes_any()) return sink.lose_one();
   const std::uint64_t lost = sink.take_lost();
   const auto write = [&](LogLevel how, std::string_view name, std::string_view text, LogFields with) {
-    if (form_ == LogForm::kText)
+    if (format_ == LogFormat::kText)
       return logger_->log(spdlog_level(how), spdlog::string_view_t(text.data(), text.size()));
     nlohmann::ordered_json record;
     record["level"] = name_of(how);
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -19,7 +19,7 @@
 
 namespace hareramp {
 
-enum class LogForm { kText, kJson };
+enum class LogFormat { kText, kJson };
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
 // One named value of a record; shown in the form kJson only: the words of the text say it already.
@@ -36,8 +36,8 @@
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  void use(LogForm form, LogLevel least);
-  LogForm form() const { return form_; }
+  void configure(LogFormat form, LogLevel least);
+  LogFormat format() const { return format_; }
 
   // event is in snake_case and stays the same over versions; words are for people and may change.
   void event(LogLevel level, std::string_view event, std::string_view words, LogFields fields = {});
@@ -52,7 +52,7 @@
   }
 
  private:
-  LogForm form_ = LogForm::kText;
+  LogFormat format_ = LogFormat::kText;
   std::unique_ptr<spdlog::logger> logger_;
 };
 
--- a/src/distribution/change.cpp
+++ b/src/distribution/change.cpp
@@ -10,22 +10,23 @@
 
 NodeList parse_nodes(const protocol::Json& fleet) {
   NodeList nodes;
-  nodes.complete = fleet["full"].truth();
+  nodes.complete = fleet["full"].boolean();
   nodes.version = fleet["version"].text();
   for (const protocol::Json& entry : fleet["servers"].items())
-    nodes.entries.push_back({entry["id"].text(), protocol::to_text(entry), entry["state"].text() == "left"});
+    nodes.entries.push_back(
+        {entry["id"].text(), protocol::serialize(entry), entry["state"].text() == "left"});
   return nodes;
 }
 
 std::optional<Purge> parse_purge(const protocol::Json& invalidate) {
   Purge purge;
   purge.unix_ms = invalidate["time"].number(0);
-  if (const auto group = invalidate["bucket"].whole()) {
+  if (const auto group = invalidate["bucket"].integer()) {
     purge.target = {PurgeTarget::Kind::kGroup, static_cast<std::uint64_t>(*group)};
     return purge;
   }
   ObjectId object;
-  if (!protocol::read_object(invalidate["object"].text(), object)) return {};
+  if (!protocol::parse_object_id(invalidate["object"].text(), object)) return {};
   purge.target = {PurgeTarget::Kind::kObject, object.value};
   return purge;
 }
@@ -39,7 +40,7 @@
     if (name == "fleet") parsed.nodes = parse_nodes(value);
     if (name == "invalidate") parsed.purge = parse_purge(value);
     parsed.json_members +=
-        fmt::format("{}\"{}\":{}", parsed.json_members.empty() ? "" : ",", name, protocol::to_text(value));
+        fmt::format("{}\"{}\":{}", parsed.json_members.empty() ? "" : ",", name, protocol::serialize(value));
   }
   return parsed;
 }
--- a/src/distribution/relay_actor.cpp
+++ b/src/distribution/relay_actor.cpp
@@ -11,8 +11,8 @@
 
 namespace hareramp::distribution {
 
-using transport::Io;
-using transport::IoEnd;
+using transport::IoResult;
+using transport::IoStatus;
 using transport::Scheduler;
 using transport::Seconds;
 using transport::Socket;
@@ -35,9 +35,9 @@
     target = second;
   }
   void header(std::string_view name, std::string_view value) override {
-    if (protocol::same_name(name, "last-event-id"))
+    if (protocol::equal_ignoring_case(name, "last-event-id"))
       std::from_chars(value.data(), value.data() + value.size(), cursor);
-    if (protocol::same_name(name, "accept-encoding"))
+    if (protocol::equal_ignoring_case(name, "accept-encoding"))
       compressed = value.find("gzip") != std::string_view::npos;
   }
   void body(std::string_view) override {}
@@ -115,12 +115,12 @@
 Task<> RelayActor::accept_subscribers(RelayActor& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end != transport::Listener::End::kTaken) {
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status != transport::Listener::Status::kAccepted) {
       co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_retry_delay);
       continue;
     }
-    accepted.socket.bound_unsent(kMaxUnsentBytes);
+    accepted.socket.limit_send_buffer(kMaxUnsentBytes);
     limit_unacknowledged_time(accepted.socket, self.settings_.stall_timeout);
     self.scheduler_.spawn(
         serve(self, std::make_shared<Session>(++self.last_id_, std::move(accepted.socket))));
@@ -150,7 +150,7 @@
   transport::Buffer in(kReadBufferBytes);
   auto step = protocol::HttpParser::Step::kMore;
   while (step == protocol::HttpParser::Step::kMore) {
-    const Io io = co_await session->socket.read(in, kReadBufferBytes, deadline);
+    const IoResult io = co_await session->socket.read(in, kReadBufferBytes, deadline);
     if (!io.ok()) co_return;
     do {
       std::size_t used = 0;
@@ -214,7 +214,7 @@
   const auto found = sessions_.find(refuse.id);
   if (found == sessions_.end()) return;
   found->second->socket.write_now(empty_response(status_text(refuse.reason)));
-  found->second->socket.finish();
+  found->second->socket.shutdown_write();
   scheduler_.at(Scheduler::now() + limits_.linger_timeout,
                 [session = found->second] { session->socket.close(); });
 }
@@ -222,18 +222,19 @@
 void RelayActor::execute(const Send& send) {
   const auto found = sessions_.find(send.id);
   if (found == sessions_.end()) return;
-  const Io io = found->second->socket.write_now(*send.bytes);
+  const IoResult io = found->second->socket.write_now(*send.bytes);
   ++writes_;
   bytes_given_ += io.bytes;
   if (io.ok()) return post(WriteCompleted{send.id});
-  if (io.end == IoEnd::kTimedOut)
+  if (io.status == IoStatus::kTimedOut)
     scheduler_.spawn(write_remaining(*this, found->second, send.bytes, io.bytes));
 }
 
 Task<> RelayActor::write_remaining(RelayActor& self, SessionPointer session, SharedBytes bytes,
                                    std::size_t offset) {
   const std::string_view rest = std::string_view(*bytes).substr(offset);
-  const Io io = co_await session->socket.write(rest, Scheduler::now() + 2 * self.settings_.stall_timeout);
+  const IoResult io =
+      co_await session->socket.write(rest, Scheduler::now() + 2 * self.settings_.stall_timeout);
   ++self.writes_;
   self.bytes_given_ += io.bytes;
   if (io.ok()) self.post(WriteCompleted{session->id});
--- a/src/distribution/subscription.cpp
+++ b/src/distribution/subscription.cpp
@@ -12,8 +12,8 @@
 
 namespace hareramp::distribution {
 
-using transport::Io;
-using transport::IoEnd;
+using transport::IoResult;
+using transport::IoStatus;
 using transport::Scheduler;
 using transport::Seconds;
 using transport::Task;
@@ -72,7 +72,7 @@
                        owner_.last_accepted_);
   }
   void header(std::string_view name, std::string_view value) override {
-    if (protocol::same_name(name, "content-encoding") && value == "gzip")
+    if (protocol::equal_ignoring_case(name, "content-encoding") && value == "gzip")
       decoder_ = std::make_unique<protocol::GzipDecoder>();
   }
   void body(std::string_view chunk) override {
@@ -87,7 +87,7 @@
     auto change = protocol::Json::parse(data);
     long long number = 0;
     std::from_chars(id.data(), id.data() + id.size(), number);
-    if (change && (*change)["seq"].whole()) number = *(*change)["seq"].whole();
+    if (change && (*change)["seq"].integer()) number = *(*change)["seq"].integer();
     batch_.push_back({number, std::move(change)});
   }
 
@@ -127,9 +127,10 @@
   if (stopped_) co_return;
   const Endpoint endpoint = owner_.endpoints_[owner_.endpoint_index_];
   const Seconds deadline = Scheduler::now() + owner_.effective_silence_timeout();
-  transport::Connected connected = co_await transport::connect(owner_.scheduler_, endpoint.address, deadline);
+  transport::ConnectResult connected =
+      co_await transport::connect(owner_.scheduler_, endpoint.address, deadline);
   if (stopped_) co_return;
-  if (connected.end != transport::ConnectEnd::kUp) {
+  if (connected.status != transport::ConnectStatus::kConnected) {
     owner_.report_failure("connection failed");
     co_return;
   }
@@ -139,7 +140,7 @@
                               "\r\nAccept: text/event-stream\r\n" +
                               (owner_.options_.compressed ? "Accept-Encoding: gzip\r\n" : "") +
                               "Last-Event-ID: " + std::to_string(owner_.last_accepted_) + "\r\n\r\n";
-  const Io sent = co_await socket_.write(request, deadline);
+  const IoResult sent = co_await socket_.write(request, deadline);
   if (!sent.ok()) co_return;
   protocol::HttpParser parser(protocol::HttpParser::Message::kResponse,
                               {limits.max_head, std::numeric_limits<std::size_t>::max()});
@@ -150,10 +151,10 @@
   is_first_batch_ = true;
   transport::Buffer in(limits.change_stream_read_size);
   for (;;) {
-    const Io io = co_await socket_.read(in, limits.change_stream_read_size,
-                                        Scheduler::now() + owner_.effective_silence_timeout());
+    const IoResult io = co_await socket_.read(in, limits.change_stream_read_size,
+                                              Scheduler::now() + owner_.effective_silence_timeout());
     if (stopped_) co_return;
-    if (io.end == IoEnd::kTimedOut) {
+    if (io.status == IoStatus::kTimedOut) {
       ++owner_.counters_.log_silent;
       owner_.report_failure("no data within the silence timeout");
     }
@@ -247,7 +248,7 @@
                                 const std::shared_ptr<Connection>& connection) {
   const Event& first = events.front();
   if (options_.restarts_followed && first_of_connection && first.number > 0 && first.number <= last_posted_ &&
-      first.change && (*first.change)["fleet"]["full"].truth()) {
+      first.change && (*first.change)["fleet"]["full"].boolean()) {
     log_.warning("change_log_restarted", "change stream: the source restarted at event {}, after event {}",
                  first.number, last_accepted_);
     last_accepted_ = last_posted_ = first.number - 1;
--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -61,7 +61,7 @@
 
 // An open way to one collector.
 struct Exporter::Session {
-  std::optional<transport::Datagrams> datagrams;
+  std::optional<transport::DatagramSocket> datagrams;
   transport::Socket stream;
   // Over TCP: where each message ended that the collector's kernel has not acknowledged yet.
   struct Sent {
@@ -469,7 +469,7 @@
     account_left_in_memory(*stream);
     for (const auto& receiver : stream->receivers) {
       receiver->stopped = true;
-      if (receiver->session) receiver->session->stream.finish();
+      if (receiver->session) receiver->session->stream.shutdown_write();
     }
   }
   log_.event(LogLevel::kInfo, "flow_export_ended",
@@ -706,16 +706,16 @@
   auto session = std::make_unique<Session>();
   if (collector.transport == Transport::kUdp) {
     try {
-      session->datagrams = transport::Datagrams::to(scheduler_, collector.address);
+      session->datagrams = transport::DatagramSocket::connected_to(scheduler_, collector.address);
     } catch (const std::system_error&) {
       co_return false;
     }
   } else {
     auto connected = co_await transport::connect(scheduler_, collector.address,
                                                  Scheduler::now() + limits_.flow_connect_timeout);
-    if (connected.end != transport::ConnectEnd::kUp) co_return false;
+    if (connected.status != transport::ConnectStatus::kConnected) co_return false;
     session->stream = std::move(connected.socket);
-    session->stream.bound_unsent(settings_.queue_bytes);  // else the kernel would hold megabytes more
+    session->stream.limit_send_buffer(settings_.queue_bytes);  // else the kernel would hold megabytes more
   }
   if (receiver.session && !receiver.session->unacknowledged.empty())
     receiver.cursor = std::min(receiver.cursor, receiver.session->unacknowledged.front().number);
@@ -755,7 +755,7 @@
   const bool datagrams = session.datagrams.has_value();
   if (!datagrams) {
     session.forget_acknowledged(now() - settings_.resend);
-    if (session.stream.ended()) {
+    if (session.stream.closed_by_peer()) {
       lost(stream, receiver, "it has closed");
       co_return true;
     }
@@ -773,33 +773,33 @@
   if (due && stream.protocol == Protocol::kIpfix)
     templates = stream.encoder.session_templates(now(), ipfix::Encoder::sequence_of(message->bytes));
   if (datagrams) {
-    using Sent = transport::Datagrams::Sent;
-    Sent sent = templates.empty() ? Sent::kSent : session.datagrams->send_now(templates);
-    if (due && sent == Sent::kSent) receiver.delivery.templates_sent(now());
-    if (sent == Sent::kSent) sent = session.datagrams->send_now(message->bytes);
-    if (sent == Sent::kFull) {
+    using SendStatus = transport::DatagramSocket::SendStatus;
+    SendStatus sent = templates.empty() ? SendStatus::kSent : session.datagrams->send_now(templates);
+    if (due && sent == SendStatus::kSent) receiver.delivery.templates_sent(now());
+    if (sent == SendStatus::kSent) sent = session.datagrams->send_now(message->bytes);
+    if (sent == SendStatus::kWouldBlock) {
       ++counters_.collectors_full;
       co_return false;  // at the next tick
     }
-    if (sent == Sent::kTooLong) {  // no other message of this size would go either
+    if (sent == SendStatus::kTooLong) {  // no other message of this size would go either
       count_not_sent(receiver, message->flows, message->packets, message->octets);
       ++receiver.cursor;
       co_return true;
     }
-    if (sent != Sent::kSent) {
-      lost(stream, receiver, sent == Sent::kRefused ? "nobody listens there" : "it can't be sent to");
+    if (sent != SendStatus::kSent) {
+      lost(stream, receiver, sent == SendStatus::kRefused ? "nobody listens there" : "it can't be sent to");
       co_return true;
     }
   } else {
     receiver.sending = true;
     const std::string bytes = templates + message->bytes;
-    const transport::Io io =
+    const transport::IoResult io =
         co_await session.stream.write(bytes, Scheduler::now() + limits_.flow_stall_timeout);
     receiver.sending = false;
     session.written += io.bytes;
     if (!io.ok()) {
       lost(stream, receiver,
-           io.end == transport::IoEnd::kTimedOut ? "it takes nothing more" : "it has closed");
+           io.status == transport::IoStatus::kTimedOut ? "it takes nothing more" : "it has closed");
       if (!stream.spooled && receiver.cursor < stream.backlog.first()) {
         count_not_sent(receiver, message->flows, message->packets, message->octets);
         receiver.cursor = stream.backlog.first();
--- a/src/flow/flow_observer.cpp
+++ b/src/flow/flow_observer.cpp
@@ -12,12 +12,12 @@
 FlowObserver::FlowObserver(Exporter& exporter, ConnectionNumber connection, bool inbound)
     : exporter_(exporter), connection_(connection), inbound_(inbound) {}
 
-void FlowObserver::has_read(std::size_t bytes) {
+void FlowObserver::on_read(std::size_t bytes) {
   read_ += bytes;
   (inbound_ ? exporter_.counters_.octets_from_clients : exporter_.counters_.octets_from_nodes) += bytes;
 }
 
-void FlowObserver::has_written(std::size_t bytes) {
+void FlowObserver::on_written(std::size_t bytes) {
   written_ += bytes;
   (inbound_ ? exporter_.counters_.octets_to_clients : exporter_.counters_.octets_to_nodes) += bytes;
   if (out_known_) wrote_for(out_, bytes);
@@ -39,7 +39,7 @@
   exporter_.table_.request_ended(exporter_.now(), connection_, label);
 }
 
-void FlowObserver::closing(int) {
+void FlowObserver::on_closing(int) {
   read_for(Label(), read_);
   wrote_for(Label(), written_);
   exporter_.table_.closed(exporter_.now(), connection_, EndReason::kEnd, exporter_.kernel(connection_));
--- a/src/flow/flow_observer.hpp
+++ b/src/flow/flow_observer.hpp
@@ -26,9 +26,9 @@
   void writing_unknown() { out_known_ = false; }
   void request_ended(const Label& label);
 
-  void has_read(std::size_t bytes) override;
-  void has_written(std::size_t bytes) override;
-  void closing(int descriptor) override;
+  void on_read(std::size_t bytes) override;
+  void on_written(std::size_t bytes) override;
+  void on_closing(int descriptor) override;
 
  private:
   Exporter& exporter_;
--- a/src/flows_tool/collector.cpp
+++ b/src/flows_tool/collector.cpp
@@ -31,7 +31,7 @@
       connections_most_(connections) {}
 
 transport::Address Collector::listen_udp(const transport::Address& at) {
-  auto datagrams = transport::Datagrams::at(scheduler_, at);
+  auto datagrams = transport::DatagramSocket::bound_to(scheduler_, at);
   const transport::Address address = datagrams.address();
   scheduler_.spawn(take_datagrams(*this, std::move(datagrams)));
   return address;
@@ -52,7 +52,7 @@
   }
 }
 
-Task<> Collector::take_datagrams(Collector& self, transport::Datagrams datagrams) {
+Task<> Collector::take_datagrams(Collector& self, transport::DatagramSocket datagrams) {
   std::vector<char> room(kDatagram);
   for (std::size_t turn = 0;; ++turn) {
     if (self.paused_ || turn % kTurn == kTurn - 1) {
@@ -71,8 +71,8 @@
 Task<> Collector::take_connections(Collector& self, transport::Listener& listener) {
   for (;;) {
     auto accepted = co_await listener.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end != transport::Listener::End::kTaken) {
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status != transport::Listener::Status::kAccepted) {
       co_await self.scheduler_.sleep_until(Scheduler::now() + 0.1);
       continue;
     }
--- a/src/flows_tool/collector.hpp
+++ b/src/flows_tool/collector.hpp
@@ -50,7 +50,7 @@
   void not_sent(const MessageHead&, const NotSentRow& row) override;
   void exporter(const MessageHead&, double started, std::uint64_t) override;
 
-  static transport::Task<> take_datagrams(Collector& self, transport::Datagrams datagrams);
+  static transport::Task<> take_datagrams(Collector& self, transport::DatagramSocket datagrams);
   static transport::Task<> take_connections(Collector& self, transport::Listener& listener);
   static transport::Task<> take_stream(Collector& self, transport::Socket socket, std::string from);
   static transport::Task<> commit(Collector& self, double every);
--- a/src/flows_tool/main.cpp
+++ b/src/flows_tool/main.cpp
@@ -33,7 +33,7 @@
   return *address;
 }
 
-Task<> until_told(Scheduler& scheduler, transport::Signals& signals, const Collector& collector) {
+Task<> until_told(Scheduler& scheduler, transport::SignalSet& signals, const Collector& collector) {
   for (;;) {
     const int signal = co_await signals.next();
     fmt::print(stderr, "{}\n", collector.counts_line());
@@ -56,7 +56,7 @@
       fmt::print(stderr, "hareramp-flows: {}\n", error.what());
     }
   };
-  transport::Signals signals(scheduler, {SIGTERM, SIGINT, SIGUSR1});
+  transport::SignalSet signals(scheduler, {SIGTERM, SIGINT, SIGUSR1});
   Collector collector(scheduler, archive, given["enterprise"].as<std::uint32_t>(),
                       given["connections"].as<std::size_t>());
   std::string where;
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -44,7 +44,7 @@
     throw BadConfig("seed is not a number of up to 16 hex digits: '" + seed + "'");
   const protocol::Json& known = (*json)["known"];
   config.known = known["results"].items();
-  config.known_to = known["seq"].whole().value_or(0);
+  config.known_to = known["seq"].integer().value_or(0);
   protocol::flatten_settings(config.settings, settings);
   config.names = {
       texts(settings["RequestClasses"], "Name"), texts(settings["Zones"]), texts(settings["Kinds"]), {}};
--- a/src/program/operator.cpp
+++ b/src/program/operator.cpp
@@ -145,7 +145,7 @@
   OperatorFile out;
   const json empty = json::object();
   const json& log = document.contains("log") ? document["log"] : empty;
-  if (or_else<std::string>(log, "format", "text") == "json") out.log_form = LogForm::kJson;
+  if (or_else<std::string>(log, "format", "text") == "json") out.log_form = LogFormat::kJson;
   const std::string level = or_else<std::string>(log, "level", "info");
   out.log_level = level == "debug"     ? LogLevel::kDebug
                   : level == "warning" ? LogLevel::kWarning
--- a/src/program/operator.hpp
+++ b/src/program/operator.hpp
@@ -24,7 +24,7 @@
 };
 
 struct OperatorFile {
-  LogForm log_form = LogForm::kText;
+  LogFormat log_form = LogFormat::kText;
   LogLevel log_level = LogLevel::kInfo;
   flow::ExportSettings flow_export;
   ChangeStreamSettings change_stream;
--- a/src/program/relay.cpp
+++ b/src/program/relay.cpp
@@ -53,7 +53,7 @@
   signal(SIGPIPE, SIG_IGN);
   const distribution::RelaySettings& settings = operator_file.relay;
   if (!settings.enabled) throw BadConfig("the operator's file has no relay switched on: relay/enabled");
-  log.use(operator_file.log_form, operator_file.log_level);
+  log.configure(operator_file.log_form, operator_file.log_level);
   raise_descriptor_limit(settings.subscribers_most);
   const protocol::Json nothing;
   const Limits limits = fill_limits(nothing, nothing);
@@ -67,14 +67,14 @@
       log.warning("task_failed", "a task failed: {}", error.what());
     }
   };
-  transport::Signals signals(scheduler, {SIGTERM, SIGINT, SIGUSR1, SIGHUP});
+  transport::SignalSet signals(scheduler, {SIGTERM, SIGINT, SIGUSR1, SIGHUP});
   distribution::RelayActor actor(scheduler, limits, counters, log, settings, settings.listen.port());
   const auto reload = [&] {
     try {
       const OperatorFile fresh = load_operator(operator_path, kUsualMemory);
       if (fresh.relay.sources.empty()) throw BadConfig("relay/sources is empty");
       actor.set_sources(fresh.relay.sources);
-      log.use(fresh.log_form, fresh.log_level);
+      log.configure(fresh.log_form, fresh.log_level);
     } catch (const std::exception& error) {
       log.warning("reload_failed", "relay: the operator's file stays as it is: {}", error.what());
     }
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -65,8 +65,9 @@
         front_(scheduler_, config.limits, counters_, config.listen, config.names, module_, flows_.get()) {
     scheduler_.on_late = [this](Seconds until) {
       module_.woke_late(until);
-      if (scheduler_.late() >= 1)  // shorter ones are only counted: a machine without a free core has many
-        log_.warning("stood_still", "the process stood still for {:.1f} s", scheduler_.late());
+      if (scheduler_.lateness() >=
+          1)  // shorter ones are only counted: a machine without a free core has many
+        log_.warning("stood_still", "the process stood still for {:.1f} s", scheduler_.lateness());
     };
     scheduler_.on_failure = [this](std::exception_ptr failure) {
       ++counters_.failures;
@@ -125,7 +126,7 @@
       const OperatorFile fresh_operator = load_operator(operator_path_, config_.memory);
       ++counters_.reloads;
       changes_.set_endpoints(change_stream(fresh, fresh_operator));
-      log_.use(fresh_operator.log_form, fresh_operator.log_level);
+      log_.configure(fresh_operator.log_form, fresh_operator.log_level);
       if (flows_ && fresh_operator.flow_export.enabled) flows_->reload(fresh_operator.flow_export);
       std::string kept;
       const auto compare = [&](const char* field, bool same) {
@@ -168,7 +169,7 @@
   Log& log_;
   Counters counters_;
   Scheduler scheduler_;
-  transport::Signals signals_;
+  transport::SignalSet signals_;
   const bool change_stream_enabled_;
   std::unique_ptr<flow::Exporter> flows_;  // null: flows are not exported
   routing::DirectorActor module_;
@@ -182,7 +183,7 @@
   signal(SIGPIPE, SIG_IGN);
   signal(SIGXFSZ, SIG_IGN);  // a file at its limit is a write that fails, not an end
   const OperatorFile operator_file = load_operator(operator_path, config.memory);
-  log.use(operator_file.log_form, operator_file.log_level);
+  log.configure(operator_file.log_form, operator_file.log_level);
   Service(config, path, operator_file, operator_path, log).run();
   return 0;
 }
--- a/src/protocol/events.cpp
+++ b/src/protocol/events.cpp
@@ -62,7 +62,7 @@
   line_.clear();
 }
 
-bool read_object(std::string_view text, ObjectId& object) {
+bool parse_object_id(std::string_view text, ObjectId& object) {
   if (text.empty() || text.size() > 16) return false;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), object.value, 16);
   return error == std::errc() && end == text.data() + text.size();
@@ -72,7 +72,7 @@
   for (const auto& [name, value] : change.members()) {
     if (name == "fleet") {
       look_through(value, kFleet, handler);
-      handler.list_starts(value["full"].truth());
+      handler.list_starts(value["full"].boolean());
       for (const Json& entry : value["servers"].items()) {
         look_through(entry, kEntry, handler);
         const auto state = kStates.find(entry["state"].text());
@@ -89,9 +89,9 @@
       look_through(value, kPurge, handler);
       const double at = value["time"].number(0);
       ObjectId object;
-      if (const auto bucket = value["bucket"].whole()) {
+      if (const auto bucket = value["bucket"].integer()) {
         handler.group_purged({*bucket}, at);
-      } else if (read_object(value["object"].text(), object)) {
+      } else if (parse_object_id(value["object"].text(), object)) {
         handler.object_purged(object, at);
       } else {
         handler.skipped("a purge of neither an object nor a group");
--- a/src/protocol/events.hpp
+++ b/src/protocol/events.hpp
@@ -47,6 +47,6 @@
 void read_change(const Json& change, ChangeHandler& handler);
 
 // An object's name on the sockets: 1 to 16 hex digits.
-bool read_object(std::string_view text, ObjectId& object);
+bool parse_object_id(std::string_view text, ObjectId& object);
 
 }  // namespace hareramp::protocol
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -64,7 +64,7 @@
 }
 }  // namespace
 
-bool same_name(std::string_view a, std::string_view b) {
+bool equal_ignoring_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
@@ -72,7 +72,7 @@
 bool has_token(std::string_view value, std::string_view word) {
   while (true) {
     const auto comma = value.find(',');
-    if (same_name(trimmed(value.substr(0, comma)), word)) return true;
+    if (equal_ignoring_case(trimmed(value.substr(0, comma)), word)) return true;
     if (comma == std::string_view::npos) return false;
     value.remove_prefix(comma + 1);
   }
@@ -172,19 +172,19 @@
   if (colon == std::string_view::npos || !is_token(text.substr(0, colon)) || !is_clean(text))
     return Step::kBad;
   const std::string_view name = text.substr(0, colon), value = trimmed(text.substr(colon + 1));
-  if (same_name(name, "content-length")) {
+  if (equal_ignoring_case(name, "content-length")) {
     std::size_t length = 0;
     if (!read_whole(value, length, 10) || (sized_ && length != left_)) return Step::kBad;
     sized_ = true, left_ = length;
-  } else if (same_name(name, "transfer-encoding")) {
-    if (!same_name(value, "chunked") || chunked_ || old_) return Step::kUnknown;
+  } else if (equal_ignoring_case(name, "transfer-encoding")) {
+    if (!equal_ignoring_case(value, "chunked") || chunked_ || old_) return Step::kUnknown;
     chunked_ = true;
-  } else if (same_name(name, "connection")) {
+  } else if (equal_ignoring_case(name, "connection")) {
     if (has_token(value, "close")) keeps_alive_ = false;
     if (old_ && has_token(value, "keep-alive")) keeps_alive_ = true;
-  } else if (same_name(name, "expect")) {
-    expects_continue_ = same_name(value, "100-continue");
-  } else if (same_name(name, "host")) {
+  } else if (equal_ignoring_case(name, "expect")) {
+    expects_continue_ = equal_ignoring_case(value, "100-continue");
+  } else if (equal_ignoring_case(name, "host")) {
     if (has_host_) return Step::kBad;
     has_host_ = true;
   }
@@ -213,7 +213,7 @@
   return Step::kMore;
 }
 
-std::string http_answer(int status, std::string_view more, std::size_t length, bool keep_alive) {
+std::string http_response_head(int status, std::string_view more, std::size_t length, bool keep_alive) {
   std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
   head += reason(status);
   head += "\r\n";
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -19,7 +19,7 @@
   virtual void body(std::string_view piece) = 0;
 };
 
-struct HttpBounds {
+struct HttpLimits {
   std::size_t head_bytes, body_bytes;
 };
 
@@ -35,7 +35,7 @@
     kUnknown    // a transfer coding or version that we do not speak
   };
 
-  HttpParser(Message message, HttpBounds bounds) : message_(message), bounds_(bounds) {}
+  HttpParser(Message message, HttpLimits bounds) : message_(message), bounds_(bounds) {}
 
   // Reads on at the start of input and says in used how much of it is taken.
   Step feed(std::string_view input, std::size_t& used, HttpHandler& handler);
@@ -57,7 +57,7 @@
   void reset();
 
   Message message_;
-  HttpBounds bounds_;
+  HttpLimits bounds_;
   Stage stage_ = Stage::kStart;
   std::size_t looked_ = 0, head_ = 0, left_ = 0, body_ = 0;
   bool in_head_ = false, keeps_alive_ = true, expects_continue_ = false;
@@ -66,9 +66,9 @@
 
 // True if a comma-separated header value holds the word, whatever its case.
 bool has_token(std::string_view value, std::string_view word);
-bool same_name(std::string_view a, std::string_view b);
+bool equal_ignoring_case(std::string_view a, std::string_view b);
 
 // An answer's head; where more is not empty it holds further header lines, each with its CR LF.
-std::string http_answer(int status, std::string_view more, std::size_t length, bool keep_alive);
+std::string http_response_head(int status, std::string_view more, std::size_t length, bool keep_alive);
 
 }  // namespace hareramp::protocol
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -67,7 +67,7 @@
       case '[':
         return read_list(value, depth);
       case '"':
-        value.kind_ = Json::Kind::kText;
+        value.kind_ = Json::Kind::kString;
         return read_text(value.text_);
       case 't':
       case 'f':
@@ -100,7 +100,7 @@
   }
 
   bool read_list(Json& value, int depth) {
-    value.kind_ = Json::Kind::kList;
+    value.kind_ = Json::Kind::kArray;
     take('[');
     skip_space();
     if (take(']')) return true;
@@ -221,10 +221,10 @@
     case Json::Kind::kNumber:
       out += value.text();
       break;
-    case Json::Kind::kText:
+    case Json::Kind::kString:
       append_quoted(out, value.text());
       break;
-    case Json::Kind::kList:
+    case Json::Kind::kArray:
       out += '[';
       for (std::size_t place = 0; place < value.items().size(); ++place) {
         if (place > 0) out += ',';
@@ -247,7 +247,7 @@
 
 }  // namespace
 
-std::string to_text(const Json& value) {
+std::string serialize(const Json& value) {
   std::string out;
   append_text(out, value);
   return out;
@@ -260,7 +260,7 @@
   return error == std::errc() && end == text_.data() + text_.size() ? value : fallback;
 }
 
-std::optional<long long> Json::whole() const {
+std::optional<long long> Json::integer() const {
   long long value = 0;
   if (kind_ != Kind::kNumber) return {};
   const auto [end, error] = std::from_chars(text_.data(), text_.data() + text_.size(), value);
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -12,14 +12,14 @@
 
 class Json {
  public:
-  enum class Kind { kNull, kBool, kNumber, kText, kList, kObject };
+  enum class Kind { kNull, kBool, kNumber, kString, kArray, kObject };
 
   // Nothing if the text is not one whole JSON value.
   static std::optional<Json> parse(std::string_view text);
 
   Kind kind() const { return kind_; }
   bool is_object() const { return kind_ == Kind::kObject; }
-  bool is_list() const { return kind_ == Kind::kList; }
+  bool is_array() const { return kind_ == Kind::kArray; }
 
   // The member of that name, or a null value.
   const Json& operator[](std::string_view name) const;
@@ -29,8 +29,8 @@
   // Text, a number as written, true or false; empty for everything else.
   const std::string& text() const { return text_; }
   double number(double fallback) const;
-  std::optional<long long> whole() const;
-  bool truth() const { return kind_ == Kind::kBool && text_ == "true"; }
+  std::optional<long long> integer() const;
+  bool boolean() const { return kind_ == Kind::kBool && text_ == "true"; }
 
  private:
   friend class JsonReader;
@@ -41,6 +41,6 @@
 };
 
 // The value as JSON text without spaces; members keep their order, numbers their digits.
-std::string to_text(const Json& value);
+std::string serialize(const Json& value);
 
 }  // namespace hareramp::protocol
--- a/src/protocol/lines.cpp
+++ b/src/protocol/lines.cpp
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-std::string serve_line(const RequestId& request, const ForwardedRequest& forwarded_request, Seconds wait,
-                       const NodeId& node, const FillOptions& fill) {
+std::string format_serve_command(const RequestId& request, const ForwardedRequest& forwarded_request,
+                                 Seconds wait, const NodeId& node, const FillOptions& fill) {
   std::string line;
   const auto add = [&](const auto&... parts) { ((line += parts), ...); };
   add("serve ", request.value, " lane=", forwarded_request.lane, ",name=", forwarded_request.name);
@@ -64,7 +64,7 @@
   return line;
 }
 
-std::string cancel_line(const RequestId& request) { return "cancel " + request.value + "\r\n"; }
+std::string format_cancel_command(const RequestId& request) { return "cancel " + request.value + "\r\n"; }
 
 bool AnswerParser::feed(std::string_view input, std::size_t& used, AnswerHandler& handler) {
   used = 0;
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -20,9 +20,9 @@
   bool client_gone = false;
 };
 
-std::string serve_line(const RequestId& request, const ForwardedRequest& forwarded_request, Seconds wait,
-                       const NodeId& node, const FillOptions& fill);
-std::string cancel_line(const RequestId& request);
+std::string format_serve_command(const RequestId& request, const ForwardedRequest& forwarded_request,
+                                 Seconds wait, const NodeId& node, const FillOptions& fill);
+std::string format_cancel_command(const RequestId& request);
 
 class AnswerHandler {
  public:
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -21,7 +21,7 @@
   const std::string stem = name.empty() ? "" : name + ".";
   if (value.is_object()) {
     for (const auto& [key, member] : value.members()) flatten_settings(settings, member, stem + key);
-  } else if (value.is_list()) {
+  } else if (value.is_array()) {
     const auto& items = value.items();
     if (std::any_of(items.begin(), items.end(), [](const Json& item) { return item.is_object(); })) {
       put_setting(settings, stem + "count", std::to_string(items.size()));
@@ -32,7 +32,7 @@
     std::string joined;
     for (const Json& item : items) joined += (&item == &items.front() ? "" : ",") + without(item.text(), ",");
     put_setting(settings, name, joined);
-  } else if (value.kind() == Json::Kind::kText) {
+  } else if (value.kind() == Json::Kind::kString) {
     put_setting(settings, name, without(value.text(), ","));
   } else {
     put_setting(settings, name, value.text());
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -13,8 +13,8 @@
 namespace hareramp::routing {
 
 using protocol::HttpParser;
-using transport::Io;
-using transport::IoEnd;
+using transport::IoResult;
+using transport::IoStatus;
 using transport::Scheduler;
 using transport::Task;
 
@@ -150,10 +150,10 @@
     const bool lingers = closing_ && !busy_;
     const Seconds patience =
         parser_.begun() || !shown_ ? limits.request_read_timeout : limits.client_idle_timeout;
-    const Io io =
+    const IoResult io =
         co_await socket_.read(in_, limits.read_size, lingers ? linger_until_ : moved_at_ + patience);
     if (ended_) break;
-    if (io.end == IoEnd::kTimedOut) {
+    if (io.status == IoStatus::kTimedOut) {
       if (busy_) {
         moved_at_ = Scheduler::now();
       } else if (closing_) {
@@ -299,7 +299,7 @@
   label(outcome, note);
   if (!keep_) closing_ = true;
   listener_.counters_.bytes_answered += bytes.size();
-  std::string head = protocol::http_answer(status, more, bytes.size(), keep_);
+  std::string head = protocol::http_response_head(status, more, bytes.size(), keep_);
   listener_.scheduler_.spawn(write(shared_from_this(), std::move(head), std::move(bytes)));
 }
 
@@ -325,7 +325,7 @@
   closing_ = true;
   moved_at_ = Scheduler::now();
   linger_until_ = moved_at_ + listener_.limits_.max_linger;
-  socket_.finish();
+  socket_.shutdown_write();
   try {
     watch_linger();
   } catch (...) {
@@ -362,19 +362,19 @@
   }
   bytes = std::string();
   self->listener_.waiting_answers_ += size;
-  Io io = self->socket_.write_now(head);
-  if (io.end == IoEnd::kTimedOut) {
+  IoResult io = self->socket_.write_now(head);
+  if (io.status == IoStatus::kTimedOut) {
     try {
       io = co_await self->socket_.write(std::string_view(head).substr(io.bytes), until);
     } catch (...) {  // as a connection that broke: the client can tell
-      io.end = IoEnd::kBroken;
+      io.status = IoStatus::kBroken;
     }
   }
   self->listener_.waiting_answers_ -= size;
   if (self->ended_) co_return;
   if (!io.ok()) {
     // Guards against a client that does not read: what it was sent is not whole, and it can tell.
-    if (io.end == IoEnd::kTimedOut) ++self->listener_.counters_.clients_slow;
+    if (io.status == IoStatus::kTimedOut) ++self->listener_.counters_.clients_slow;
     self->flow_observer_ = nullptr;
     self->socket_.abort();
     self->leave();
--- a/src/routing/client_listener.cpp
+++ b/src/routing/client_listener.cpp
@@ -41,16 +41,16 @@
 // backlog.
 Task<> ClientListener::live(ClientListener& self) {
   for (;;) {
-    transport::Listener::Accepted accepted;
+    transport::Listener::AcceptResult accepted;
     try {
       accepted = co_await self.listener_.accept();
     } catch (...) {  // no memory for the call
       self.report(std::current_exception());
-      accepted.end = transport::Listener::End::kTransientFailure;
+      accepted.status = transport::Listener::Status::kTransientFailure;
     }
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end != transport::Listener::End::kTaken) {
-      const Seconds pause = self.pause_after(accepted.end);
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status != transport::Listener::Status::kAccepted) {
+      const Seconds pause = self.pause_after(accepted.status);
       if (pause > 0) co_await self.scheduler_.sleep_until(Scheduler::now() + pause);
       continue;
     }
@@ -70,10 +70,10 @@
 // Guards against accepts that fail: most do so for a moment, and the pause before the next one is short; one
 // that goes on failing must not keep the loop busy. Only a lack of descriptors is mended by closing a client,
 // and then only where it outlasts the first pause: at every other failure at most one goes.
-Seconds ClientListener::pause_after(transport::Listener::End failure) {
+Seconds ClientListener::pause_after(transport::Listener::Status failure) {
   ++counters_.accept_paused;
   ++accept_failures_;
-  const bool lacks_descriptors = failure == transport::Listener::End::kDescriptorLimit;
+  const bool lacks_descriptors = failure == transport::Listener::Status::kDescriptorLimit;
   if (lacks_descriptors && accept_failures_ % 2 == 0 && make_room()) return 0;
   const int doublings = std::min(accept_failures_ - 1, kAcceptPauseDoublings);
   return kAcceptPause * (1 << doublings);
--- a/src/routing/client_listener.hpp
+++ b/src/routing/client_listener.hpp
@@ -35,7 +35,7 @@
   friend class ClientConnection;
   static transport::Task<> live(ClientListener& self);
   // After an accept that failed: how long to wait before the next one.
-  Seconds pause_after(transport::Listener::End failure);
+  Seconds pause_after(transport::Listener::Status failure);
   void admit(transport::Socket socket);
   bool make_room();
   std::shared_ptr<ClientConnection> next_to_go() const;
--- a/src/routing/client_request.cpp
+++ b/src/routing/client_request.cpp
@@ -10,7 +10,7 @@
 
 namespace hareramp::routing {
 
-using protocol::same_name;
+using protocol::equal_ignoring_case;
 using transport::Scheduler;
 
 namespace {
@@ -74,20 +74,20 @@
 void ClientConnection::header(std::string_view name, std::string_view value) {
   HttpRequest& r = http_request_;
   const Limits& limits = listener_.limits_;
-  if (same_name(name, "x-correlation-id")) {
+  if (equal_ignoring_case(name, "x-correlation-id")) {
     r.bad = r.bad || !r.id.empty();
     r.has_id = is_id(value);
     r.id = value;
-  } else if (same_name(name, "x-deadline-ms")) {
+  } else if (equal_ignoring_case(name, "x-deadline-ms")) {
     r.bad = r.bad || r.has_stop;
     r.has_stop = read_figure(value, limits.max_deadline * 1000, r.wait);
-  } else if (same_name(name, "x-resent")) {
+  } else if (equal_ignoring_case(name, "x-resent")) {
     r.resent = value == "1";
-  } else if (same_name(name, "x-family")) {
+  } else if (equal_ignoring_case(name, "x-family")) {
     r.bad = r.bad || !read_number(value, r.family) || r.family < 0 || r.family >= limits.group_count;
-  } else if (same_name(name, "x-need-kb")) {
+  } else if (equal_ignoring_case(name, "x-need-kb")) {
     r.bad = r.bad || !read_figure(value, limits.max_request_kb, r.size_kb);
-  } else if (same_name(name, "if-none-match")) {
+  } else if (equal_ignoring_case(name, "if-none-match")) {
     if (value.starts_with("W/")) value.remove_prefix(2);
     if (value.size() >= 2 && value.front() == '"' && value.back() == '"')
       value = value.substr(1, value.size() - 2);
@@ -125,7 +125,7 @@
   ObjectId object;
   const auto& request_classes = listener_.names_.request_classes;
   const auto known = std::find(request_classes.begin(), request_classes.end(), target->request_class_name);
-  if (known == request_classes.end() || !protocol::read_object(target->object, object)) return false;
+  if (known == request_classes.end() || !protocol::parse_object_id(target->object, object)) return false;
   if (!http_request_.has_id || !http_request_.has_stop || http_request_.bad) return false;
   // What a node would answer with an error: a read that brings bytes, a write that does not write.
   const auto place = static_cast<std::size_t>(known - request_classes.begin());
@@ -160,7 +160,7 @@
   // A request read after a pause may have waited for all of it, and its client's time began with the sending.
   const Seconds deadline =
       Scheduler::now() +
-      std::max(0.0, http_request_.wait / 1000 - limits.deadline_margin - listener_.scheduler_.late());
+      std::max(0.0, http_request_.wait / 1000 - limits.deadline_margin - listener_.scheduler_.lateness());
   request_ = {std::move(http_request_.id)};
   forwarded_request_ = forwarded_request;
   listener_.module_.request_arrived(request_, {static_cast<int>(place)}, object, target->part,
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -213,7 +213,7 @@
   request.deadline = std::min(deadline, deadline_cap_);
   watch_overdue(id, requests_.insert_or_assign(id, std::move(request)).first->second);
   director_->request_arrived(clock_.now(), id, request_class, {0}, object, part, group,
-                             clock_.of_scheduler(deadline), size_kb, resent, is_write);
+                             clock_.from_scheduler(deadline), size_kb, resent, is_write);
 }
 
 // Guards against a request that nothing would ever end; the module's own time-outs come first.
@@ -232,7 +232,7 @@
       request.deadline = at;
       watch_overdue(id, request);
     }
-    director_->cap_deadlines(clock_.now(), clock_.of_scheduler(at));
+    director_->cap_deadlines(clock_.now(), clock_.from_scheduler(at));
   });
 }
 
@@ -301,7 +301,7 @@
     if (const auto response_sink = request.response_sink.lock())
       response_sink->completed(id, std::move(content));
   }
-  const Seconds now = clock_.now(), spent = now - clock_.of_scheduler(request.outs[place].sent);
+  const Seconds now = clock_.now(), spent = now - clock_.from_scheduler(request.outs[place].sent);
   director_->attempt_ended(now, id, number, node, result, note, waited, spent, report, !request.owed);
   forget_if_quiet(id);
 }
--- a/src/routing/upstream_message.cpp
+++ b/src/routing/upstream_message.cpp
@@ -31,7 +31,7 @@
 
 UpstreamMessage UpstreamMessage::cancel(const RequestId& request) {
   UpstreamMessage message;
-  message.bytes = protocol::cancel_line(request);
+  message.bytes = protocol::format_cancel_command(request);
   return message;
 }
 
@@ -43,7 +43,7 @@
   if (!forwarded_request) return;
   FillOptions terms = fill;
   terms.max_copy_age = stricter(fill.max_copy_age, max_copy_age);
-  bytes = protocol::serve_line(request, *forwarded_request, give_up_at - now, node, terms);
+  bytes = protocol::format_serve_command(request, *forwarded_request, give_up_at - now, node, terms);
   held = hold_back_end && !forwarded_request->body.empty() ? kHeldBytes : 0;
   whole_at = 0;
 }
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -6,8 +6,8 @@
 
 namespace hareramp::routing {
 
-using transport::Io;
-using transport::IoEnd;
+using transport::IoResult;
+using transport::IoStatus;
 using transport::kNever;
 using transport::Scheduler;
 using transport::Task;
@@ -155,7 +155,8 @@
     if (link->retiring || link->suspect || link->open.size() >= limits_.max_attempts_per_connection) continue;
     link->forget_until(old);
     if (link->open.contains(request) || link->heard_of.contains(request)) continue;
-    if (link->open.empty() && link->state == UpstreamConnection::State::kUp && link->socket.ended()) continue;
+    if (link->open.empty() && link->state == UpstreamConnection::State::kUp && link->socket.closed_by_peer())
+      continue;
     if (!least || link->open.size() < least->open.size()) least = link;
   }
   return least;
@@ -398,9 +399,9 @@
     }
     const std::string_view bytes =
         std::string_view(piece.bytes).substr(0, whole ? piece.bytes.size() : first);
-    const Io io = link->socket.write_now(bytes.substr(link->out_sent));
+    const IoResult io = link->socket.write_now(bytes.substr(link->out_sent));
     wrote(*link, io.bytes);
-    if (io.end == IoEnd::kTimedOut) return false;
+    if (io.status == IoStatus::kTimedOut) return false;
     if (!io.ok()) {  // the reading side ends the connection, after what the node still had to say
       write_again_later(link);
       return true;
@@ -429,8 +430,8 @@
 Task<> UpstreamNode::drain(std::shared_ptr<UpstreamNode> self, ConnectionPointer link) {
   try {
     while (link->state == UpstreamConnection::State::kUp && !self->write_out(link)) {
-      const transport::Wake wake = co_await link->socket.writable(kNever);
-      if (wake != transport::Wake::kReady) break;
+      const transport::WaitResult wake = co_await link->socket.writable(kNever);
+      if (wake != transport::WaitResult::kReady) break;
     }
   } catch (...) {  // no memory for what is to be written, say: nothing else would write it later
     self->drop(link);
@@ -451,11 +452,11 @@
 
 Task<> UpstreamNode::follow(ConnectionPointer link) {
   const Seconds until = Scheduler::now() + limits_.connect_timeout;
-  transport::Connected connected = co_await transport::connect(scheduler_, address_, until);
-  if (connected.end != transport::ConnectEnd::kUp) {
+  transport::ConnectResult connected = co_await transport::connect(scheduler_, address_, until);
+  if (connected.status != transport::ConnectStatus::kConnected) {
     ++counters_.links_failed;
-    const bool ours = connected.end == transport::ConnectEnd::kLocalFailure;
-    const bool reset = connected.end == transport::ConnectEnd::kReset;
+    const bool ours = connected.status == transport::ConnectStatus::kLocalFailure;
+    const bool reset = connected.status == transport::ConnectStatus::kReset;
     link->state = UpstreamConnection::State::kClosed;
     forget(link);
     if (ours) move_to_links_that_are_up(link);
@@ -477,9 +478,9 @@
     const std::size_t room = std::max(limits_.read_size, link->parser.wanted());
     // Guards against an answer that stops short: nothing behind it on this connection can be read any more.
     const bool amid = link->in.size() > 0;
-    const Io io = co_await link->socket.read(link->in, room,
-                                             amid ? link->heard_at + limits_.answer_stall_timeout : kNever);
-    if (io.end == IoEnd::kTimedOut) ++counters_.links_stalled;
+    const IoResult io = co_await link->socket.read(
+        link->in, room, amid ? link->heard_at + limits_.answer_stall_timeout : kNever);
+    if (io.status == IoStatus::kTimedOut) ++counters_.links_stalled;
     if (!io.ok()) break;
     link->heard_at = Scheduler::now();
     link->suspect = false;
--- a/src/storage/worker.cpp
+++ b/src/storage/worker.cpp
@@ -10,10 +10,10 @@
 
 namespace hareramp::storage {
 
-using transport::Call;
+using transport::Callback;
 using transport::kNever;
 using transport::Task;
-using transport::Wake;
+using transport::WaitResult;
 
 Worker::Worker(transport::Scheduler& scheduler, std::size_t max_pending)
     : scheduler_(scheduler), max_pending_(max_pending) {}
@@ -29,7 +29,7 @@
   if (event_descriptor_ >= 0) ::close(event_descriptor_);
 }
 
-bool Worker::post(Call job, Call done) {
+bool Worker::post(Callback job, Callback done) {
   if (pending_ >= max_pending_) return false;
   if (event_descriptor_ < 0) {
     event_descriptor_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
@@ -72,15 +72,15 @@
   for (;;) {
     std::uint64_t event_count = 0;
     if (::read(self.event_descriptor_, &event_count, sizeof event_count) < 0) {
-      if (co_await self.watch_->readable(kNever) == Wake::kClosed) co_return;
+      if (co_await self.watch_->readable(kNever) == WaitResult::kClosed) co_return;
       continue;
     }
-    std::deque<Call> finished;
+    std::deque<Callback> finished;
     {
       const std::lock_guard lock(self.mutex_);
       finished.swap(self.finished_);
     }
-    for (Call& done : finished) {
+    for (Callback& done : finished) {
       --self.pending_;
       self.scheduler_.run_guarded(done);
     }
--- a/src/storage/worker.hpp
+++ b/src/storage/worker.hpp
@@ -10,7 +10,7 @@
 #include <mutex>
 #include <thread>
 
-#include "transport/call.hpp"
+#include "transport/callback.hpp"
 #include "transport/scheduler.hpp"
 #include "transport/task.hpp"
 
@@ -26,12 +26,12 @@
 
   // job runs on the thread and must not throw; done runs in the loop afterwards. Returns false, and runs
   // neither, if too many jobs are pending.
-  bool post(transport::Call job, transport::Call done);
+  bool post(transport::Callback job, transport::Callback done);
   std::size_t pending() const { return pending_; }  // posted jobs whose done has not yet run
 
  private:
   struct Job {
-    transport::Call work, done;
+    transport::Callback work, done;
   };
   void run();
   static transport::Task<> deliver_results(Worker& self);
@@ -44,7 +44,7 @@
   std::mutex mutex_;
   std::condition_variable wake_worker_;
   std::deque<Job> jobs_;
-  std::deque<transport::Call> finished_;
+  std::deque<transport::Callback> finished_;
   bool stopping_ = false;
 };
 
--- a/src/transport/buffer.hpp
+++ b/src/transport/buffer.hpp
@@ -21,7 +21,7 @@
   std::size_t capacity() const { return capacity_; }
 
   // At least so much room behind the bytes held.
-  std::span<char> room(std::size_t least) {
+  std::span<char> prepare(std::size_t least) {
     if (capacity_ - end_ < least && begin_ > 0) {
       std::memmove(bytes_.get(), bytes_.get() + begin_, size());
       end_ -= begin_;
@@ -36,7 +36,7 @@
     }
     return {bytes_.get() + end_, capacity_ - end_};
   }
-  void filled(std::size_t count) { end_ += count; }
+  void commit(std::size_t count) { end_ += count; }
   void consume(std::size_t count) {
     begin_ += std::min(count, size());
     if (begin_ < end_) return;
--- a/src/transport/callback.hpp
+++ b/src/transport/callback.hpp
@@ -9,11 +9,11 @@
 
 namespace hareramp::transport {
 
-class Call {
+class Callback {
  public:
-  Call() = default;
+  Callback() = default;
   template <class Work>
-  requires(!std::same_as<std::decay_t<Work>, Call>) Call(Work&& work)
+  requires(!std::same_as<std::decay_t<Work>, Callback>) Callback(Work&& work)
       : held_(std::make_unique<Holder<std::decay_t<Work>>>(std::forward<Work>(work))) {}
 
   void operator()() { held_->run(); }
--- a/src/transport/clock.hpp
+++ b/src/transport/clock.hpp
@@ -14,7 +14,7 @@
   Clock() : base_(unix_now() - Scheduler::now()) {}
   Seconds now() const { return base_ + Scheduler::now(); }
   // From and to the scheduler's time.
-  Seconds of_scheduler(Seconds time) const { return base_ + time; }
+  Seconds from_scheduler(Seconds time) const { return base_ + time; }
   Seconds to_scheduler(Seconds time) const { return time - base_; }
   // The wall clock, which may step at any time: for stamps in records, never for a span.
   static Seconds unix_now() {
--- a/src/transport/mailbox.hpp
+++ b/src/transport/mailbox.hpp
@@ -6,7 +6,7 @@
 #include <deque>
 #include <utility>
 
-#include "transport/call.hpp"
+#include "transport/callback.hpp"
 #include "transport/scheduler.hpp"
 #include "transport/task.hpp"
 
@@ -18,7 +18,7 @@
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
 
-  void post(Call call) {
+  void post(Callback call) {
     if (closed_) return;
     calls_.push_back(std::move(call));
     wake();
@@ -32,16 +32,16 @@
 
   // The actor's life: carries out each call until the mailbox is closed and empty.
   Task<> serve() {
-    for (Call call = co_await next(); call; call = co_await next()) scheduler_.run_guarded(call);
+    for (Callback call = co_await next(); call; call = co_await next()) scheduler_.run_guarded(call);
   }
 
   struct Next {
     Mailbox& box;
     bool await_ready() const noexcept { return !box.calls_.empty() || box.closed_; }
     void await_suspend(std::coroutine_handle<> handle) noexcept { box.actor_ = handle; }
-    Call await_resume() {
+    Callback await_resume() {
       if (box.calls_.empty()) return {};
-      Call call = std::move(box.calls_.front());
+      Callback call = std::move(box.calls_.front());
       box.calls_.pop_front();
       return call;
     }
@@ -54,7 +54,7 @@
   }
 
   Scheduler& scheduler_;
-  std::deque<Call> calls_;
+  std::deque<Callback> calls_;
   std::coroutine_handle<> actor_;
   bool closed_ = false;
 };
--- a/src/transport/scheduler.cpp
+++ b/src/transport/scheduler.cpp
@@ -51,7 +51,7 @@
   resume_soon(spawned_.back().handle());
 }
 
-Scheduler::TimerKey Scheduler::at(Seconds when, Call what) {
+Scheduler::TimerKey Scheduler::at(Seconds when, Callback what) {
   const TimerKey key{when, ++timers_made_};
   timers_.emplace(key, std::move(what));
   return key;
@@ -65,7 +65,7 @@
     wait_for_sockets();
     // What is due since the sockets were looked at waits: after a stop they are heard before any time-out.
     while (!timers_.empty() && timers_.begin()->first.first <= turned_at_) {
-      Call what = std::move(timers_.begin()->second);
+      Callback what = std::move(timers_.begin()->second);
       timers_.erase(timers_.begin());
       run_guarded(what);
     }
@@ -74,7 +74,7 @@
 
 // Guards against one actor's failure, of memory above all, that would take everything down with it. It hurts
 // where state was left half changed; what such a call had begun is ended by the time-outs that stand anyway.
-void Scheduler::run_guarded(Call& call) noexcept {
+void Scheduler::run_guarded(Callback& call) noexcept {
   try {
     call();
   } catch (...) {
@@ -137,8 +137,8 @@
   for (int i = 0; i < count; ++i) {
     auto& watch = *static_cast<Watch*>(events[i].data.ptr);
     constexpr auto kEnded = EPOLLERR | EPOLLHUP;
-    if (events[i].events & (EPOLLIN | EPOLLRDHUP | kEnded)) watch.wake(watch.reading_, Wake::kReady);
-    if (events[i].events & (EPOLLOUT | kEnded)) watch.wake(watch.writing_, Wake::kReady);
+    if (events[i].events & (EPOLLIN | EPOLLRDHUP | kEnded)) watch.wake(watch.reading_, WaitResult::kReady);
+    if (events[i].events & (EPOLLOUT | kEnded)) watch.wake(watch.writing_, WaitResult::kReady);
     if (events[i].events & (EPOLLRDHUP | kEnded)) watch.peer_closed();
   }
 }
@@ -157,16 +157,16 @@
 void Watch::close() {
   if (closed_) return;
   closed_ = true;
-  on_peer_closed_ = Call();
+  on_peer_closed_ = Callback();
   epoll_ctl(scheduler_.epoll_, EPOLL_CTL_DEL, descriptor_, nullptr);
   --scheduler_.watched_;
-  wake(reading_, Wake::kClosed);
-  wake(writing_, Wake::kClosed);
+  wake(reading_, WaitResult::kClosed);
+  wake(writing_, WaitResult::kClosed);
 }
 
 void Watch::peer_closed() noexcept {
   if (!on_peer_closed_) return;
-  Call what = std::move(on_peer_closed_);
+  Callback what = std::move(on_peer_closed_);
   scheduler_.run_guarded(what);
 }
 
@@ -180,7 +180,7 @@
     });
 }
 
-void Watch::wake(Side& side, Wake result) {
+void Watch::wake(Side& side, WaitResult result) {
   if (!side.waiting) return;
   if (std::exchange(side.timed, false)) scheduler_.cancel(side.timer);
   side.result = result;
--- a/src/transport/scheduler.hpp
+++ b/src/transport/scheduler.hpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "transport/call.hpp"
+#include "transport/callback.hpp"
 #include "transport/task.hpp"
 
 namespace hareramp::transport {
@@ -36,7 +36,7 @@
   void spawn(Task<> task);
   void resume_soon(std::coroutine_handle<> handle) { ready_.push_back(handle); }
 
-  TimerKey at(Seconds when, Call what);
+  TimerKey at(Seconds when, Callback what);
   void cancel(const TimerKey& timer) { timers_.erase(timer); }
 
   // Ends every coroutine where it stands, and every timer: for an end in which those go first that they use.
@@ -62,11 +62,11 @@
   // that took long): by how much the last turn came late, for a moment after one that came very late; else 0.
   // What is read then may have waited for so long. It also meets a machine without a free core; what comes
   // newly in that moment is taken for older than it is.
-  Seconds late() const { return now() < late_until_ ? late_by_ : 0; }
+  Seconds lateness() const { return now() < late_until_ ? late_by_ : 0; }
   std::function<void(Seconds until)> on_late;  // called before anything else is done in such a turn
 
   // Carries a call out; what it throws goes to on_failure, and the loop goes on.
-  void run_guarded(Call& call) noexcept;
+  void run_guarded(Callback& call) noexcept;
 
   std::function<void(std::exception_ptr)> on_failure;
 
@@ -83,12 +83,12 @@
   Seconds turned_at_ = now(), late_by_ = 0, late_until_ = 0;
   std::uint64_t timers_made_ = 0;
   std::deque<std::coroutine_handle<>> ready_;
-  std::map<TimerKey, Call> timers_;
+  std::map<TimerKey, Callback> timers_;
   std::vector<Task<>> spawned_;
   detail::PromiseBase* done_ = nullptr;
 };
 
-enum class Wake { kReady, kTimedOut, kClosed };
+enum class WaitResult { kReady, kTimedOut, kClosed };
 
 // One descriptor in the scheduler's epoll. At most one coroutine waits for each direction. The watch is
 // edge-triggered: try the call first, and wait only after it said that it would block.
@@ -103,40 +103,40 @@
     std::coroutine_handle<> waiting;
     Scheduler::TimerKey timer{};
     bool timed = false;
-    Wake result = Wake::kReady;
+    WaitResult result = WaitResult::kReady;
   };
   struct Wait {
     Watch& watch;
     Side& side;
     Seconds until;
-    Wake when_over = Wake::kTimedOut;  // the result at that time
+    WaitResult when_over = WaitResult::kTimedOut;  // the result at that time
     bool await_ready() const noexcept { return watch.closed_; }
     void await_suspend(std::coroutine_handle<> handle);
-    Wake await_resume() const noexcept { return watch.closed_ ? Wake::kClosed : side.result; }
+    WaitResult await_resume() const noexcept { return watch.closed_ ? WaitResult::kClosed : side.result; }
   };
   Wait readable(Seconds until) { return {*this, reading_, until}; }
   Wait writable(Seconds until) { return {*this, writing_, until}; }
   // After a call that failed for want of kernel memory: no event tells when to try again, so by then at the
   // latest it is taken for ready.
-  Wait readable_by(Seconds then) { return {*this, reading_, then, Wake::kReady}; }
-  Wait writable_by(Seconds then) { return {*this, writing_, then, Wake::kReady}; }
+  Wait readable_by(Seconds then) { return {*this, reading_, then, WaitResult::kReady}; }
+  Wait writable_by(Seconds then) { return {*this, writing_, then, WaitResult::kReady}; }
 
   // Called once when the other side has closed or reset the connection; see Socket.
-  void on_peer_closed(Call what) { on_peer_closed_ = std::move(what); }
+  void on_peer_closed(Callback what) { on_peer_closed_ = std::move(what); }
 
   // Whoever waits is woken with kClosed, and nobody can wait any more.
   void close();
 
  private:
   friend class Scheduler;
-  void wake(Side& side, Wake result);
+  void wake(Side& side, WaitResult result);
   void peer_closed() noexcept;
 
   Scheduler& scheduler_;
   int descriptor_;
   bool closed_ = false;
   Side reading_, writing_;
-  Call on_peer_closed_;
+  Callback on_peer_closed_;
 };
 
 }  // namespace hareramp::transport
--- a/src/transport/signals.cpp
+++ b/src/transport/signals.cpp
@@ -9,7 +9,7 @@
 
 namespace hareramp::transport {
 
-Signals::Signals(Scheduler& scheduler, std::initializer_list<int> which) {
+SignalSet::SignalSet(Scheduler& scheduler, std::initializer_list<int> which) {
   sigset_t set;
   sigemptyset(&set);
   for (const int one : which) sigaddset(&set, one);
@@ -19,18 +19,18 @@
   watch_ = std::make_unique<Watch>(scheduler, descriptor_);
 }
 
-Signals::~Signals() {
+SignalSet::~SignalSet() {
   watch_.reset();
   ::close(descriptor_);
 }
 
-Task<int> Signals::next() {
+Task<int> SignalSet::next() {
   for (;;) {
     signalfd_siginfo info;
     if (::read(descriptor_, &info, sizeof info) == static_cast<ssize_t>(sizeof info))
       co_return static_cast<int>(info.ssi_signo);
-    const Wake wake = co_await watch_->readable(kNever);
-    if (wake == Wake::kClosed) co_return 0;
+    const WaitResult wake = co_await watch_->readable(kNever);
+    if (wake == WaitResult::kClosed) co_return 0;
   }
 }
 
--- a/src/transport/signals.hpp
+++ b/src/transport/signals.hpp
@@ -9,13 +9,13 @@
 
 namespace hareramp::transport {
 
-class Signals {
+class SignalSet {
  public:
   // From now on these come here and nowhere else.
-  Signals(Scheduler& scheduler, std::initializer_list<int> which);
-  ~Signals();
-  Signals(const Signals&) = delete;
-  Signals& operator=(const Signals&) = delete;
+  SignalSet(Scheduler& scheduler, std::initializer_list<int> which);
+  ~SignalSet();
+  SignalSet(const SignalSet&) = delete;
+  SignalSet& operator=(const SignalSet&) = delete;
 
   Task<int> next();
 
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -150,19 +150,19 @@
 
 void Socket::close() {
   if (descriptor_ < 0) return;
-  if (observer_) observer_->closing(descriptor_);
+  if (observer_) observer_->on_closing(descriptor_);
   observer_.reset();
   watch_->close();  // stays until the waiters have run
   ::close(std::exchange(descriptor_, -1));
 }
 
-bool Socket::ended() const {
+bool Socket::closed_by_peer() const {
   char byte;
   const ssize_t count = descriptor_ < 0 ? 0 : ::recv(descriptor_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return count == 0 || (count < 0 && !would_block(errno) && !lacks_memory(errno) && errno != EINTR);
 }
 
-void Socket::bound_unsent(std::size_t bytes) {
+void Socket::limit_send_buffer(std::size_t bytes) {
   const int size = static_cast<int>(std::min<std::size_t>(bytes, 1 << 24));
   if (descriptor_ >= 0) setsockopt(descriptor_, SOL_SOCKET, SO_SNDBUF, &size, sizeof size);
 }
@@ -173,7 +173,7 @@
   return static_cast<std::size_t>(waiting);
 }
 
-void Socket::finish() {
+void Socket::shutdown_write() {
   if (descriptor_ >= 0) ::shutdown(descriptor_, SHUT_WR);
 }
 
@@ -184,39 +184,40 @@
   close();
 }
 
-Task<Io> Socket::read(Buffer& into, std::size_t least_room, Seconds until) {
+Task<IoResult> Socket::read(Buffer& into, std::size_t least_room, Seconds until) {
   for (;;) {
-    if (descriptor_ < 0) co_return Io{IoEnd::kClosed, 0};
-    const auto room = into.room(least_room);
+    if (descriptor_ < 0) co_return IoResult{IoStatus::kClosed, 0};
+    const auto room = into.prepare(least_room);
     const ssize_t count = ::recv(descriptor_, room.data(), room.size(), 0);
     if (count > 0) {
-      into.filled(static_cast<std::size_t>(count));
-      if (observer_) observer_->has_read(static_cast<std::size_t>(count));
-      co_return Io{IoEnd::kDone, static_cast<std::size_t>(count)};
+      into.commit(static_cast<std::size_t>(count));
+      if (observer_) observer_->on_read(static_cast<std::size_t>(count));
+      co_return IoResult{IoStatus::kOk, static_cast<std::size_t>(count)};
     }
-    if (count == 0) co_return Io{IoEnd::kEnded, 0};
+    if (count == 0) co_return IoResult{IoStatus::kEndOfStream, 0};
     if (errno == EINTR) continue;
     const Seconds retry_at = lacks_memory(errno) ? Scheduler::now() + kMemoryRetry : kNever;
-    if (!would_block(errno) && retry_at == kNever) co_return Io{IoEnd::kBroken, 0};
+    if (!would_block(errno) && retry_at == kNever) co_return IoResult{IoStatus::kBroken, 0};
     into.release();
-    const Wake wake = co_await (retry_at < until ? watch_->readable_by(retry_at) : watch_->readable(until));
-    if (wake == Wake::kTimedOut) co_return Io{IoEnd::kTimedOut, 0};
-    if (wake == Wake::kClosed) co_return Io{IoEnd::kClosed, 0};
+    const WaitResult wake =
+        co_await (retry_at < until ? watch_->readable_by(retry_at) : watch_->readable(until));
+    if (wake == WaitResult::kTimedOut) co_return IoResult{IoStatus::kTimedOut, 0};
+    if (wake == WaitResult::kClosed) co_return IoResult{IoStatus::kClosed, 0};
   }
 }
 
-Io Socket::write_now(std::string_view bytes) {
-  Io io;
+IoResult Socket::write_now(std::string_view bytes) {
+  IoResult io;
   while (io.bytes < bytes.size()) {
-    if (descriptor_ < 0) return {IoEnd::kClosed, io.bytes};
+    if (descriptor_ < 0) return {IoStatus::kClosed, io.bytes};
     const ssize_t count = ::send(descriptor_, bytes.data() + io.bytes, bytes.size() - io.bytes, MSG_NOSIGNAL);
     send_lacked_memory_ = count < 0 && lacks_memory(errno);
     if (count >= 0) {
       io.bytes += static_cast<std::size_t>(count);
-      if (observer_) observer_->has_written(static_cast<std::size_t>(count));
+      if (observer_) observer_->on_written(static_cast<std::size_t>(count));
     } else if (errno != EINTR) {
       const bool must_wait = would_block(errno) || send_lacked_memory_;
-      return {must_wait ? IoEnd::kTimedOut : IoEnd::kBroken, io.bytes};
+      return {must_wait ? IoStatus::kTimedOut : IoStatus::kBroken, io.bytes};
     }
   }
   return io;
@@ -227,22 +228,22 @@
   return send_lacked_memory_ && retry_at < until ? watch_->writable_by(retry_at) : watch_->writable(until);
 }
 
-Task<Io> Socket::write(std::string_view bytes, Seconds until) {
+Task<IoResult> Socket::write(std::string_view bytes, Seconds until) {
   std::size_t written = 0;
   for (;;) {
-    const Io io = write_now(bytes.substr(written));
+    const IoResult io = write_now(bytes.substr(written));
     written += io.bytes;
-    if (io.end != IoEnd::kTimedOut) co_return Io{io.end, written};
-    const Wake wake = co_await writable(until);
-    if (wake == Wake::kTimedOut) co_return Io{IoEnd::kTimedOut, written};
-    if (wake == Wake::kClosed) co_return Io{IoEnd::kClosed, written};
+    if (io.status != IoStatus::kTimedOut) co_return IoResult{io.status, written};
+    const WaitResult wake = co_await writable(until);
+    if (wake == WaitResult::kTimedOut) co_return IoResult{IoStatus::kTimedOut, written};
+    if (wake == WaitResult::kClosed) co_return IoResult{IoStatus::kClosed, written};
   }
 }
 
-Task<Connected> connect(Scheduler& scheduler, Address to, Seconds until, const Address* from) {
-  Connected connected;
+Task<ConnectResult> connect(Scheduler& scheduler, Address to, Seconds until, const Address* from) {
+  ConnectResult connected;
   const int descriptor = ::socket(to.family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  connected.end = ConnectEnd::kLocalFailure;
+  connected.status = ConnectStatus::kLocalFailure;
   connected.error = descriptor < 0 ? errno : 0;
   if (descriptor < 0) co_return connected;
   try {
@@ -258,29 +259,29 @@
     co_return connected;
   }
   if (::connect(descriptor, to.raw(), to.size()) == 0) {
-    connected.end = ConnectEnd::kUp;
+    connected.status = ConnectStatus::kConnected;
     co_return connected;
   }
   if (errno != EINPROGRESS && errno != EINTR) {
     connected.error = errno;
-    connected.end = is_local(errno) ? ConnectEnd::kLocalFailure : ConnectEnd::kRefused;
+    connected.status = is_local(errno) ? ConnectStatus::kLocalFailure : ConnectStatus::kRefused;
     co_return connected;
   }
-  connected.end = ConnectEnd::kRefused;
+  connected.status = ConnectStatus::kRefused;
   for (;;) {
-    const Wake wake = co_await connected.socket.watch_->writable(until);
-    if (wake == Wake::kTimedOut) connected.end = ConnectEnd::kTimedOut;
-    if (wake != Wake::kReady) co_return connected;
+    const WaitResult wake = co_await connected.socket.watch_->writable(until);
+    if (wake == WaitResult::kTimedOut) connected.status = ConnectStatus::kTimedOut;
+    if (wake != WaitResult::kReady) co_return connected;
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &error, &size);
     connected.error = error;
-    if (error == ECONNRESET) connected.end = ConnectEnd::kReset;
-    if (is_local(error)) connected.end = ConnectEnd::kLocalFailure;
+    if (error == ECONNRESET) connected.status = ConnectStatus::kReset;
+    if (is_local(error)) connected.status = ConnectStatus::kLocalFailure;
     if (error != 0) co_return connected;
     if (Address::peer(descriptor)) break;
   }
-  connected.end = ConnectEnd::kUp;
+  connected.status = ConnectStatus::kConnected;
   co_return connected;
 }
 
@@ -296,8 +297,8 @@
     throw std::system_error(errno, std::generic_category(), "can't listen at " + at.text());
 }
 
-Task<Listener::Accepted> Listener::accept() {
-  Accepted accepted;
+Task<Listener::AcceptResult> Listener::accept() {
+  AcceptResult accepted;
   for (int gone = 0;;) {
     if (!socket_.open()) co_return accepted;
     if (unwatched_ < 0)
@@ -306,27 +307,27 @@
     if (is_of_one_connection(errno) && ++gone < kGoneInARow) continue;  // what persists must not spin
     if (!would_block(errno)) {
       accepted.error = errno;
-      accepted.end = errno == EMFILE ? End::kDescriptorLimit : End::kTransientFailure;
+      accepted.status = errno == EMFILE ? Status::kDescriptorLimit : Status::kTransientFailure;
       co_return accepted;
     }
-    const Wake wake = co_await socket_.watch_->readable(kNever);
-    if (wake == Wake::kClosed) co_return accepted;
+    const WaitResult wake = co_await socket_.watch_->readable(kNever);
+    if (wake == WaitResult::kClosed) co_return accepted;
   }
 }
 
 // Guards against a kernel that has no room for another watch (ENOMEM, ENOSPC): closed here, the connection's
 // client would be lost. Those behind it wait in the backlog until it can be watched.
-Listener::Accepted Listener::watch_unwatched() {
-  Accepted accepted;
+Listener::AcceptResult Listener::watch_unwatched() {
+  AcceptResult accepted;
   try {
     accepted.socket.watch_ = std::make_unique<Watch>(scheduler_, unwatched_);
   } catch (const std::system_error& error) {
-    accepted.end = End::kTransientFailure;
+    accepted.status = Status::kTransientFailure;
     accepted.error = error.code().value();
     return accepted;
   }
   accepted.socket.descriptor_ = std::exchange(unwatched_, -1);
-  accepted.end = End::kTaken;
+  accepted.status = Status::kAccepted;
   const int on = 1;
   setsockopt(accepted.socket.descriptor_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   return accepted;
@@ -353,26 +354,26 @@
 }
 }  // namespace
 
-Datagrams Datagrams::to(Scheduler& scheduler, const Address& address) {
-  return Datagrams(datagram_socket(scheduler, address, ::connect, "can't send to "));
+DatagramSocket DatagramSocket::connected_to(Scheduler& scheduler, const Address& address) {
+  return DatagramSocket(datagram_socket(scheduler, address, ::connect, "can't send to "));
 }
-Datagrams Datagrams::at(Scheduler& scheduler, const Address& address) {
-  return Datagrams(datagram_socket(scheduler, address, ::bind, "can't listen at "));
+DatagramSocket DatagramSocket::bound_to(Scheduler& scheduler, const Address& address) {
+  return DatagramSocket(datagram_socket(scheduler, address, ::bind, "can't listen at "));
 }
 
-Datagrams::Sent Datagrams::send_now(std::string_view bytes) {
+DatagramSocket::SendStatus DatagramSocket::send_now(std::string_view bytes) {
   for (;;) {
-    if (::send(socket_.descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL) >= 0) return Sent::kSent;
+    if (::send(socket_.descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL) >= 0) return SendStatus::kSent;
     if (errno == EINTR) continue;
-    if (would_block(errno) || errno == ENOBUFS || errno == ENOMEM) return Sent::kFull;
-    if (errno == ECONNREFUSED) return Sent::kRefused;
-    return errno == EMSGSIZE ? Sent::kTooLong : Sent::kFailed;
+    if (would_block(errno) || errno == ENOBUFS || errno == ENOMEM) return SendStatus::kWouldBlock;
+    if (errno == ECONNREFUSED) return SendStatus::kRefused;
+    return errno == EMSGSIZE ? SendStatus::kTooLong : SendStatus::kFailed;
   }
 }
 
-Task<Datagrams::Got> Datagrams::receive(std::span<char> room, Seconds until) {
+Task<DatagramSocket::ReceiveResult> DatagramSocket::receive(std::span<char> room, Seconds until) {
   for (;;) {
-    Got got;
+    ReceiveResult got;
     if (!socket_.open()) co_return got;
     sockaddr_storage from{};
     socklen_t size = sizeof from;
@@ -386,7 +387,7 @@
     }
     if (errno == EINTR) continue;
     if (!would_block(errno)) co_return got;
-    if (co_await socket_.watch_->readable(until) != Wake::kReady) co_return got;
+    if (co_await socket_.watch_->readable(until) != WaitResult::kReady) co_return got;
   }
 }
 
--- a/src/transport/socket.hpp
+++ b/src/transport/socket.hpp
@@ -50,18 +50,18 @@
 class SocketObserver {
  public:
   virtual ~SocketObserver() = default;
-  virtual void has_read(std::size_t bytes) = 0;
-  virtual void has_written(std::size_t bytes) = 0;
+  virtual void on_read(std::size_t bytes) = 0;
+  virtual void on_written(std::size_t bytes) = 0;
   // The descriptor is still open: the last look at what the kernel counted.
-  virtual void closing(int descriptor) = 0;
+  virtual void on_closing(int descriptor) = 0;
 };
 
-enum class IoEnd { kDone, kEnded, kBroken, kTimedOut, kClosed };
+enum class IoStatus { kOk, kEndOfStream, kBroken, kTimedOut, kClosed };
 
-struct Io {
-  IoEnd end = IoEnd::kDone;
+struct IoResult {
+  IoStatus status = IoStatus::kOk;
   std::size_t bytes = 0;  // how many moved, also where it did not end well
-  bool ok() const { return end == IoEnd::kDone; }
+  bool ok() const { return status == IoStatus::kOk; }
 };
 
 class Socket {
@@ -77,25 +77,25 @@
   void observe(std::unique_ptr<SocketObserver> observer) { observer_ = std::move(observer); }
   SocketObserver* observer() const { return observer_.get(); }
   // At most about so many bytes wait in the kernel to be sent; more makes a write wait.
-  void bound_unsent(std::size_t bytes);
+  void limit_send_buffer(std::size_t bytes);
   // Bytes written that the other side's kernel has not acknowledged.
   std::size_t unacknowledged() const;
   // One read, of whatever is there, behind what the buffer holds.
-  Task<Io> read(Buffer& into, std::size_t least_room, Seconds until);
+  Task<IoResult> read(Buffer& into, std::size_t least_room, Seconds until);
   // All of it, unless the connection ends or the time comes.
-  Task<Io> write(std::string_view bytes, Seconds until);
+  Task<IoResult> write(std::string_view bytes, Seconds until);
   // As much as goes without waiting; kTimedOut says that the rest must wait for writable(), also where the
   // kernel had no memory for it (ENOBUFS, ENOMEM): the connection stands.
-  Io write_now(std::string_view bytes);
+  IoResult write_now(std::string_view bytes);
   Watch::Wait writable(Seconds until);
   // The other side has closed or reset it: bytes written now would be lost.
-  bool ended() const;
+  bool closed_by_peer() const;
   // Calls once, as soon as the other side has closed its sending side or has reset the connection, also while
   // bytes that it sent before are unread. Called from within the scheduler's wait, before any coroutine that
   // the same wait woke; may close this socket.
-  void on_peer_closed(Call what) { watch_->on_peer_closed(std::move(what)); }
+  void on_peer_closed(Callback what) { watch_->on_peer_closed(std::move(what)); }
   // Nothing more will be written; what was is still delivered.
-  void finish();
+  void shutdown_write();
   // Bytes that come no more are thrown away, and whoever waits is woken.
   void close();
   // The other side is told by a reset that what it got is not whole.
@@ -103,8 +103,9 @@
 
  private:
   friend class Listener;
-  friend class Datagrams;
-  friend Task<struct Connected> connect(Scheduler& scheduler, Address to, Seconds until, const Address* from);
+  friend class DatagramSocket;
+  friend Task<struct ConnectResult> connect(Scheduler& scheduler, Address to, Seconds until,
+                                            const Address* from);
   int descriptor_ = -1;
   std::unique_ptr<Watch> watch_;
   std::unique_ptr<SocketObserver> observer_;
@@ -114,15 +115,15 @@
 // kReset: it came up, and the other side ended it at once.
 // kLocalFailure: our own side could not even ask (no descriptor, no memory, no port, no network); this says
 // nothing of the other side.
-enum class ConnectEnd { kUp, kRefused, kReset, kTimedOut, kLocalFailure };
+enum class ConnectStatus { kConnected, kRefused, kReset, kTimedOut, kLocalFailure };
 
-struct Connected {
-  ConnectEnd end = ConnectEnd::kRefused;
+struct ConnectResult {
+  ConnectStatus status = ConnectStatus::kRefused;
   int error = 0;  // errno of the call that failed; 0 where none did
   Socket socket;
 };
 // from, where it is given, is the address of our own side; port 0 takes any.
-Task<Connected> connect(Scheduler& scheduler, Address to, Seconds until, const Address* from = nullptr);
+Task<ConnectResult> connect(Scheduler& scheduler, Address to, Seconds until, const Address* from = nullptr);
 
 class Listener {
  public:
@@ -134,18 +135,18 @@
   // kDescriptorLimit: this process has no descriptor left, which closing one of its own mends.
   // kTransientFailure: the system could not for now (its table is full, no memory, the network is down); the
   // caller tries again after a pause.
-  enum class End { kTaken, kDescriptorLimit, kTransientFailure, kClosed };
-  struct Accepted {
-    End end = End::kClosed;
+  enum class Status { kAccepted, kDescriptorLimit, kTransientFailure, kClosed };
+  struct AcceptResult {
+    Status status = Status::kClosed;
     int error = 0;  // errno, where it was not taken
     Socket socket;
   };
-  Task<Accepted> accept();
+  Task<AcceptResult> accept();
   Address address() const;
   void close();
 
  private:
-  Accepted watch_unwatched();
+  AcceptResult watch_unwatched();
 
   Scheduler& scheduler_;
   Socket socket_;
@@ -153,28 +154,28 @@
 };
 
 // A UDP socket: one that sends to a single address, or one that takes what comes to its own.
-class Datagrams {
+class DatagramSocket {
  public:
   // Throw std::system_error.
-  static Datagrams to(Scheduler& scheduler, const Address& address);
-  static Datagrams at(Scheduler& scheduler, const Address& address);
+  static DatagramSocket connected_to(Scheduler& scheduler, const Address& address);
+  static DatagramSocket bound_to(Scheduler& scheduler, const Address& address);
 
-  enum class Sent { kSent, kFull, kRefused, kTooLong, kFailed };
+  enum class SendStatus { kSent, kWouldBlock, kRefused, kTooLong, kFailed };
   // One datagram, or none of it. kRefused: nobody listens there, told of one sent before.
-  Sent send_now(std::string_view bytes);
-  struct Got {
+  SendStatus send_now(std::string_view bytes);
+  struct ReceiveResult {
     bool ok = false;
     std::size_t bytes = 0;
     Address from;
   };
   // The next datagram; what does not fit into the room is cut off and lost.
-  Task<Got> receive(std::span<char> room, Seconds until);
+  Task<ReceiveResult> receive(std::span<char> room, Seconds until);
   Address address() const { return *Address::own(socket_.descriptor()); }
   bool open() const { return socket_.open(); }
   void close() { socket_.close(); }
 
  private:
-  explicit Datagrams(Socket socket) : socket_(std::move(socket)) {}
+  explicit DatagramSocket(Socket socket) : socket_(std::move(socket)) {}
   Socket socket_;
 };
 
--- a/tests/distribution/stream.hpp
+++ b/tests/distribution/stream.hpp
@@ -34,7 +34,7 @@
   void read(std::string_view bytes) { parser_.feed(bytes, *this); }
   void event(std::string_view, std::string_view data) override {
     const protocol::Json change = *protocol::Json::parse(data);
-    const long long number = *change["seq"].whole();
+    const long long number = *change["seq"].integer();
     if (number <= last) return;
     last = number;
     numbers.push_back(number);
--- a/tests/faults/faulty_program.cpp
+++ b/tests/faults/faulty_program.cpp
@@ -137,7 +137,7 @@
 Task<Answers> FaultyProgram::ask(FaultyProgram& self, std::string request_class, std::uint64_t number) {
   const double until = Scheduler::now() + kAnswerBound;
   auto connected = co_await transport::connect(self.scheduler, self.listen, until);
-  if (connected.end != transport::ConnectEnd::kUp) co_return Answers{.lost = 1};
+  if (connected.status != transport::ConnectStatus::kConnected) co_return Answers{.lost = 1};
   co_await connected.socket.write(request_text(request_class, number), until);
   transport::Buffer in(kReadRoom);
   // To the end of the connection: behind a second answer there would be no other end either.
--- a/tests/flow/exporter_disk_test.cpp
+++ b/tests/flow/exporter_disk_test.cpp
@@ -81,8 +81,8 @@
       const int descriptor = socket.descriptor();
       const auto tap = exporter->client(descriptor);
       REQUIRE(tap);
-      tap->has_read(100);
-      tap->closing(descriptor);
+      tap->on_read(100);
+      tap->on_closing(descriptor);
     }
   }
   transport::Socket connected() {
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -185,7 +185,7 @@
   void send(std::string_view bytes) { CHECK(socket_.write_now(bytes).ok()); }
   std::size_t try_send(std::string_view bytes) { return socket_.write_now(bytes).bytes; }
   void reset() { socket_.abort(); }
-  void finish() { socket_.finish(); }
+  void finish() { socket_.shutdown_write(); }
   void close() { socket_.close(); }
   bool has_received(const std::string& words) const { return heard.find(words) != std::string::npos; }
 
@@ -237,7 +237,7 @@
   static transport::Task<> take(StandInServer& self) {
     for (;;) {
       auto accepted = co_await self.listener_.accept();
-      if (accepted.end != transport::Listener::End::kTaken) co_return;
+      if (accepted.status != transport::Listener::Status::kAccepted) co_return;
       self.connections.push_back(
           std::make_shared<TestConnection>(self.scheduler_, std::move(accepted.socket)));
       if (self.reads_) self.connections.back()->listen();
@@ -255,7 +255,7 @@
                      std::shared_ptr<TestConnection>& made) -> transport::Task<> {
     auto connected = co_await transport::connect(s, at, transport::Scheduler::now() + 5);
     made = std::make_shared<TestConnection>(s, std::move(connected.socket));
-    made->up = connected.end == transport::ConnectEnd::kUp;
+    made->up = connected.status == transport::ConnectStatus::kConnected;
     if (read) made->listen();
   };
   scheduler.spawn(go(scheduler, to, reads, end));
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -30,7 +30,7 @@
 };
 
 std::string http(const std::string& text, std::size_t piece, HttpParser::Message message,
-                 HttpBounds bounds = {400, 100}) {
+                 HttpLimits bounds = {400, 100}) {
   HttpParser parser(message, bounds);
   HttpTrace trace;
   std::string held;
@@ -142,8 +142,9 @@
   trace += "\n" + torn("HTTP/1.1 200 OK\r\n\r\nuntil the end", response) + "\n";
   trace += torn("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", response);
   trace += torn("HTTP/1.1 twohundred\r\n\r\n", response);
-  for (const std::string& head : {http_answer(200, "ETag: \"a\"\r\n", 3, true), http_answer(304, "", 0, true),
-                                  http_answer(503, "", 0, false)})
+  for (const std::string& head :
+       {http_response_head(200, "ETag: \"a\"\r\n", 3, true), http_response_head(304, "", 0, true),
+        http_response_head(503, "", 0, false)})
     trace += head;
   std::erase(trace, '\r');
   check_trace("http_responses", trace);
@@ -187,18 +188,19 @@
 TEST_CASE("commands to nodes") {
   const RequestId request{"9b1f03aa5c7e2d41"};
   ForwardedRequest forwarded_request{"segment", "7f3a9c21e0b4d655", "3", "", ""};
-  std::string trace = serve_line(request, forwarded_request, 1.4999, {"c1"}, {.source = {"c1"}});
-  trace += serve_line(request, forwarded_request, 1.5, {"c1"},
-                      {.source = {"P1"},
-                       .rank = 2,
-                       .max_copy_age = 0.0004,
-                       .join = true,
-                       .cached_only = true,
-                       .background_refresh = true});
-  trace += serve_line(request, forwarded_request, -1, {"c1"},
-                      {.source = {"P1"}, .max_copy_age = 8.0019, .bypass_parent_storage = true});
+  std::string trace = format_serve_command(request, forwarded_request, 1.4999, {"c1"}, {.source = {"c1"}});
+  trace += format_serve_command(request, forwarded_request, 1.5, {"c1"},
+                                {.source = {"P1"},
+                                 .rank = 2,
+                                 .max_copy_age = 0.0004,
+                                 .join = true,
+                                 .cached_only = true,
+                                 .background_refresh = true});
+  trace += format_serve_command(request, forwarded_request, -1, {"c1"},
+                                {.source = {"P1"}, .max_copy_age = 8.0019, .bypass_parent_storage = true});
   forwarded_request = {"handover", "1", "", "4be0c1927d55a6f3", "body\r\n"};
-  trace += serve_line(request, forwarded_request, 3, {"O"}, {.source = {"O"}}) + cancel_line(request);
+  trace += format_serve_command(request, forwarded_request, 3, {"O"}, {.source = {"O"}}) +
+           format_cancel_command(request);
   std::erase(trace, '\r');
   check_trace("node_commands", trace);
 }
@@ -265,8 +267,8 @@
   CHECK((*value)["a"].text() == "x\ty\u00e9\U0001F600");
   CHECK((*value)["b"].items()[1].text() == "2.50");
   CHECK((*value)["b"].items()[1].number(0) == 2.5);
-  CHECK((*value)["b"].items()[2].truth());
-  CHECK_FALSE((*value)["big"].whole());
+  CHECK((*value)["b"].items()[2].boolean());
+  CHECK_FALSE((*value)["big"].integer());
   CHECK((*value)["none"]["deeper"].number(7) == 7);
 }
 
--- a/tests/transport/transport_test.cpp
+++ b/tests/transport/transport_test.cpp
@@ -18,10 +18,10 @@
   std::size_t taken = 0;
   for (std::size_t round = 0; round < 500; ++round) {
     const std::string piece(round % 37 + 1, static_cast<char>('a' + round % 26));
-    const auto room = buffer.room(piece.size());
+    const auto room = buffer.prepare(piece.size());
     REQUIRE(room.size() >= piece.size());
     std::copy(piece.begin(), piece.end(), room.begin());
-    buffer.filled(piece.size());
+    buffer.commit(piece.size());
     expected += piece;
     const std::size_t use = round % 23;
     taken += std::min(use, buffer.size());
@@ -31,7 +31,7 @@
   CHECK(buffer.capacity() > 64);
   buffer.consume(buffer.size());
   CHECK(buffer.capacity() == 0);  // a large one is given back
-  buffer.room(10);
+  buffer.prepare(10);
   CHECK(buffer.capacity() <= 64);
 }
 
@@ -141,15 +141,15 @@
   std::string trace;
   const auto try_out = [](Scheduler& s, Address refusing, Address full, std::string& told) -> Task<> {
     auto connected = co_await connect(s, refusing, Scheduler::now() + 5);
-    told += connected.end == ConnectEnd::kRefused ? "refused " : "? ";
+    told += connected.status == ConnectStatus::kRefused ? "refused " : "? ";
     connected = co_await connect(s, full, Scheduler::now() + 5);
-    const Io io = co_await connected.socket.write(std::string(64 << 20, 'x'), Scheduler::now() + 0.05);
-    told += io.end == IoEnd::kTimedOut && io.bytes > 0 && io.bytes < (64u << 20) ? "stuck " : "? ";
+    const IoResult io = co_await connected.socket.write(std::string(64 << 20, 'x'), Scheduler::now() + 0.05);
+    told += io.status == IoStatus::kTimedOut && io.bytes > 0 && io.bytes < (64u << 20) ? "stuck " : "? ";
     Buffer in(16);
-    const Io silent = co_await connected.socket.read(in, 16, Scheduler::now() + 0.01);
-    told += silent.end == IoEnd::kTimedOut ? "silent " : "? ";
+    const IoResult silent = co_await connected.socket.read(in, 16, Scheduler::now() + 0.01);
+    told += silent.status == IoStatus::kTimedOut ? "silent " : "? ";
     connected.socket.close();
-    told += (co_await connected.socket.read(in, 16, kNever)).end == IoEnd::kClosed ? "closed" : "?";
+    told += (co_await connected.socket.read(in, 16, kNever)).status == IoStatus::kClosed ? "closed" : "?";
   };
   scheduler.spawn(try_out(scheduler, unused_address(scheduler), deaf.address, trace));
   REQUIRE(run_until(scheduler, [&] { return trace.ends_with("closed") || trace.find('?') != trace.npos; }));
@@ -166,8 +166,8 @@
   const auto hear = [](Scheduler& s, Address at, std::string& said) -> Task<> {
     auto connected = co_await connect(s, at, Scheduler::now() + 5);
     Buffer in(16);
-    const Io io = co_await connected.socket.read(in, 16, Scheduler::now() + 0.1);
-    said = io.ok() ? std::string(in.view()) + (s.late() >= 0.25 ? ", late" : "") : "timed out";
+    const IoResult io = co_await connected.socket.read(in, 16, Scheduler::now() + 0.1);
+    said = io.ok() ? std::string(in.view()) + (s.lateness() >= 0.25 ? ", late" : "") : "timed out";
   };
   scheduler.spawn(hear(scheduler, server.address, trace));
   // As if the process were stopped here, past the time-out, with bytes on their way.
@@ -184,7 +184,7 @@
   CHECK(told > 0);
   const Seconds calm = Scheduler::now() + 0.1;
   REQUIRE(run_until(scheduler, [&] { return Scheduler::now() > calm; }));
-  CHECK(scheduler.late() == 0);
+  CHECK(scheduler.lateness() == 0);
 }
 
 TEST_CASE("a log that nobody reads loses lines, and says so once it is read again") {
@@ -220,8 +220,8 @@
 TEST_CASE("the director's clock follows the steady one") {
   const Clock clock;
   const Seconds before = Scheduler::now();
-  CHECK(clock.to_scheduler(clock.of_scheduler(before)) == doctest::Approx(before));
-  CHECK(clock.now() >= clock.of_scheduler(before));
+  CHECK(clock.to_scheduler(clock.from_scheduler(before)) == doctest::Approx(before));
+  CHECK(clock.now() >= clock.from_scheduler(before));
 }
 
 TEST_CASE("IPv6: a connection and datagrams, and a refusal is told") {
@@ -231,25 +231,28 @@
   const auto talk = [](Scheduler& s, Listener& l, std::string& told) -> Task<> {
     auto connected = co_await connect(s, l.address(), Scheduler::now() + 5);
     auto accepted = co_await l.accept();
-    told += connected.end == ConnectEnd::kUp && accepted.end == Listener::End::kTaken ? "up " : "? ";
+    told += connected.status == ConnectStatus::kConnected && accepted.status == Listener::Status::kAccepted
+                ? "up "
+                : "? ";
     connected.socket.write_now("over six");
     Buffer in(0);
     co_await accepted.socket.read(in, 64, Scheduler::now() + 5);
     told += std::string(in.view()) + "; ";
-    auto collector = Datagrams::at(s, *Address::parse("[::1]:0"));
-    auto exporter = Datagrams::to(s, collector.address());
-    told += exporter.send_now("one") == Datagrams::Sent::kSent ? "sent " : "? ";
-    told += exporter.send_now(std::string(70000, 'x')) == Datagrams::Sent::kTooLong ? "too long " : "? ";
+    auto collector = DatagramSocket::bound_to(s, *Address::parse("[::1]:0"));
+    auto exporter = DatagramSocket::connected_to(s, collector.address());
+    told += exporter.send_now("one") == DatagramSocket::SendStatus::kSent ? "sent " : "? ";
+    told += exporter.send_now(std::string(70000, 'x')) == DatagramSocket::SendStatus::kTooLong ? "too long "
+                                                                                               : "? ";
     std::string room(64, ' ');
     const auto got = co_await collector.receive(room, Scheduler::now() + 5);
     told += room.substr(0, got.bytes) + " from " + (got.from == exporter.address() ? "it" : "another");
     collector.close();
     auto sent = exporter.send_now("two");
-    for (int i = 0; i < 100 && sent == Datagrams::Sent::kSent; ++i) {
+    for (int i = 0; i < 100 && sent == DatagramSocket::SendStatus::kSent; ++i) {
       co_await s.sleep_until(Scheduler::now() + 0.001);
       sent = exporter.send_now("three");
     }
-    told += sent == Datagrams::Sent::kRefused ? " refused" : " ?";
+    told += sent == DatagramSocket::SendStatus::kRefused ? " refused" : " ?";
     l.close();
     s.stop();
   };
@@ -267,7 +270,7 @@
     const ssize_t count = ::read(ends[0], text.data(), text.size());
     return text.substr(0, static_cast<std::size_t>(std::max<ssize_t>(count, 0)));
   };
-  log.use(LogForm::kJson, LogLevel::kWarning);
+  log.configure(LogFormat::kJson, LogLevel::kWarning);
   log.info("unseen", "not written");
   log.event(LogLevel::kWarning, "collector_lost", "a \"quoted\" name\n",
             {{"waiting", std::uint64_t{7}}, {"name", "c1"}});
