--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -30,92 +30,111 @@
 namespace {
 
 // Constants. The design's own first, as the design page has them.
-constexpr Seconds kSpan = 10.0;        // s: span over which rates and shares are averaged (design)
-constexpr Seconds kHotSpan = 2.0;      // s: span over which an object's bytes are counted (design)
-constexpr double kHotShare = 0.25;     // of the home cache's rate: above it an object spreads (design)
-constexpr double kLowOfHigh = 0.1;     // of the high threshold: the low one (design)
-constexpr double kShareFloor = 0.06;   // hit share that keeps a member between the thresholds (design)
-constexpr Seconds kTrialEvery = 5.0;   // s: between trial fills of a dropped member (design)
-constexpr Seconds kMeasurable = 0.1;   // s of sending: shorter fills tell of delays, not of a rate
-constexpr Seconds kTrialFirst = 0.5;   // s: first trial of a node left out; doubles up to kTrialEvery
-constexpr int kStrikesOut = 2;         // silent attempts in a row: one may be chance
-constexpr double kByChance = 0.01;     // more in a row where so many would still be commoner than this
-constexpr Seconds kLongOut = 1.0;      // s: after a longer absence a node may have restarted unseen
-constexpr Seconds kSetup = 0.05;       // s: an attempt's fixed part when times are put in proportion
-constexpr double kOverdue = 1.5;       // x expected time: a member on trial gets no more than this
-constexpr double kBudgetPart = 0.7;    // of the told limit: true capacity lies below the listed weight
-constexpr Seconds kRestartTime = 0.2;  // s: no director hears of a node, ends and is back sooner
-constexpr double kLeastShare = 0.01;   // of a call: a smaller share would put off trials for ever
-constexpr double kUnknownLink = 2.0;   // transfers: a link's size where no weight tells it, judged low
-constexpr Seconds kUnknownSend = 0.3;  // s: sending time before any size or answer has told one
-constexpr double kCrowd = 2.0;         // transfers for each that a link bears at full pace: a room's start
-constexpr double kLinkFull = 2.5;      // transfers for each that fits a location's link at a fill's pace
-constexpr double kTight = 0.6;         // of the contract time's slack over bare sending: more shows a crowd
-constexpr double kCut = 0.9;           // x: a node's room after a request that took longer than that
-constexpr double kGrow = 0.1;       // transfers: more room after one in good time, at a node near its limit
-constexpr double kGrowFirst = 0.5;  // transfers: the same until its first crowd: nothing may tell of a link
-constexpr double kNearLimit = 0.7;  // of its room in use: below it a good answer proves nothing
-constexpr double kSizes = 2.5;      // x the mean sending time, or a part of it: beyond, size counts no more
-constexpr double kDragFull = 2.0;   // x a hit's time for its bytes: a fill that takes more shows a full link
-constexpr int kFillsTell = 2;       // fills that one judgement of the link rests on
-constexpr double kLinkCut = 0.5;  // x: the most that one report of a full link takes off the part of requests
-constexpr double kLinkGrow = 0.2;    // of the requests: that many more may fill at a report of an empty link
-constexpr double kLinkLeast = 0.05;  // of the requests: fewer would leave the caches behind it cold for good
-constexpr Seconds kReportEvery = 0.5;  // s: reports closer than this are taken for the same one
-constexpr Seconds kLookAgain = 0.15;   // s: before looking again for a copy that is under way
-constexpr int kLooks = 3;              // looks for a request: the attempts left must do for its own fill
-constexpr double kOriginCut =
+constexpr Seconds kAverageSpan = 10.0;       // s: span over which rates and shares are averaged (design)
+constexpr Seconds kHotObjectSpan = 2.0;      // s: span over which an object's bytes are counted (design)
+constexpr double kHotObjectShare = 0.25;     // of the home cache's rate: above it an object spreads (design)
+constexpr double kLowThresholdFactor = 0.1;  // of the high threshold: the low one (design)
+constexpr double kMinHitShare = 0.06;        // hit share that keeps a member between the thresholds (design)
+constexpr Seconds kMaxTrialInterval = 5.0;   // s: between trial fills of a dropped member (design)
+constexpr Seconds kMinMeasurableTransfer = 0.1;  // s of sending: shorter fills tell of delays, not of a rate
+constexpr Seconds kFirstTrialDelay = 0.5;  // s: first trial of a node left out; doubles up to kTrialEvery
+constexpr int kFailuresToEject = 2;        // silent attempts in a row: one may be chance
+constexpr double kFalseEjectionChance =
+    0.01;  // more in a row where so many would still be commoner than this
+constexpr Seconds kUnnoticedRestartAfter = 1.0;  // s: after a longer absence a node may have restarted unseen
+constexpr Seconds kAttemptOverhead = 0.05;  // s: an attempt's fixed part when times are put in proportion
+constexpr double kLateFactor = 1.5;         // x expected time: a member on trial gets no more than this
+constexpr double kBudgetFraction = 0.7;     // of the told limit: true capacity lies below the listed weight
+constexpr Seconds kMinRestartTime = 0.2;    // s: no director hears of a node, ends and is back sooner
+constexpr double kMinBudgetShare = 0.01;    // of a call: a smaller share would put off trials for ever
+constexpr double kDefaultCapacity = 2.0;    // transfers: a link's size where no weight tells it, judged low
+constexpr Seconds kDefaultSendTime = 0.3;   // s: sending time before any size or answer has told one
+constexpr double kInitialConcurrencyFactor =
+    2.0;                                 // transfers for each that a link bears at full pace: a room's start
+constexpr double kLinkFullReport = 2.5;  // transfers for each that fits a location's link at a fill's pace
+constexpr double kOverloadSlackFraction =
+    0.6;  // of the contract time's slack over bare sending: more shows a crowd
+constexpr double kConcurrencyDecrease = 0.9;  // x: a node's room after a request that took longer than that
+constexpr double kConcurrencyIncrease =
+    0.1;  // transfers: more room after one in good time, at a node near its limit
+constexpr double kInitialConcurrencyIncrease =
+    0.5;  // transfers: the same until its first crowd: nothing may tell of a link
+constexpr double kNearLimitFraction = 0.7;  // of its room in use: below it a good answer proves nothing
+constexpr double kMaxSizeFactor =
+    2.5;  // x the mean sending time, or a part of it: beyond, size counts no more
+constexpr double kFullLinkSlowdown =
+    2.0;  // x a hit's time for its bytes: a fill that takes more shows a full link
+constexpr int kFillsPerLinkEstimate = 2;  // fills that one judgement of the link rests on
+constexpr double kMaxLinkDecrease =
+    0.5;  // x: the most that one report of a full link takes off the part of requests
+constexpr double kLinkIncrease =
+    0.2;  // of the requests: that many more may fill at a report of an empty link
+constexpr double kMinLinkFraction =
+    0.05;  // of the requests: fewer would leave the caches behind it cold for good
+constexpr Seconds kMinReportInterval = 0.5;  // s: reports closer than this are taken for the same one
+constexpr Seconds kLookupRetryDelay = 0.15;  // s: before looking again for a copy that is under way
+constexpr int kMaxLookups = 3;  // looks for a request: the attempts left must do for its own fill
+constexpr double kOriginFailureDecrease =
     0.7;  // x: the part of requests that may reach the origin, after a failure there
-constexpr double kOriginLate = 0.5;  // x: the same for what is late there: it has queued a while unseen
-constexpr double kOriginGrow =
+constexpr double kOriginLateDecrease =
+    0.5;  // x: the same for what is late there: it has queued a while unseen
+constexpr double kOriginIncreasePerSecond =
     0.2;  // of the requests a second: more of them as its answers come in good time
-constexpr Seconds kOriginCalm = 2.0;    // s without a failure there: after each, twice as many may reach it
-constexpr double kOriginSlow = 5.0;     // x the usual wait for it: more shows a crowd before it refuses
-constexpr double kOriginDeepest = 0.3;  // x: the most that one slow answer cuts
-constexpr Seconds kLeastWait = 0.02;    // s: waits under this tell of the way there, not of a crowd
-constexpr double kOriginLeast = 0.05;   // of the requests: fewer would not tell when the origin is back
-constexpr double kEarned = 0.2;       // further fills that one good fill earns: what retries may add at most
-constexpr double kSaved = 5;          // further fills saved up: enough for the first moments of a failure
-constexpr Seconds kPause = 0.1;       // s: about so long before a write turned away asks the origin again
-constexpr Seconds kComeBack = 1.0;    // s: advice to a bounced client, drawn from half of it upwards
-constexpr Seconds kListAgain = 1.0;   // s: before following the list anew after a failure
-constexpr Seconds kRemember = 30.0;   // s: how long an object counts as asked for before
-constexpr Seconds kSweepEvery = 5.0;  // s: between sweeps of what is no longer needed
-constexpr Seconds kLeastAge = 1e-5;   // s: an age bound must never round to 0, which means any age
-constexpr int kTop = 2;               // caches by the hash that a request may go to when others are crowded
-
-constexpr Seconds kLocalPause = 0.02;  // s: after a failure of our own side; doubles each time
-constexpr int kLocalFailures = 8;      // of one request: by then its pauses have come to 2.5 s
-
-constexpr int kNobody = -1;
-constexpr Seconds kLongAgo = -1e9;
-constexpr Seconds kNever = 1e18;
+constexpr Seconds kOriginRecoveryInterval =
+    2.0;  // s without a failure there: after each, twice as many may reach it
+constexpr double kOriginSlowFactor = 5.0;  // x the usual wait for it: more shows a crowd before it refuses
+constexpr double kMaxOriginSlowDecrease = 0.3;  // x: the most that one slow answer cuts
+constexpr Seconds kMinOriginWait = 0.02;        // s: waits under this tell of the way there, not of a crowd
+constexpr double kMinOriginFraction = 0.05;  // of the requests: fewer would not tell when the origin is back
+constexpr double kRetryBudgetPerFill =
+    0.2;                               // further fills that one good fill earns: what retries may add at most
+constexpr double kMaxRetryBudget = 5;  // further fills saved up: enough for the first moments of a failure
+constexpr Seconds kWriteRetryDelay =
+    0.1;                                  // s: about so long before a write turned away asks the origin again
+constexpr Seconds kMaxRetryAfter = 1.0;   // s: advice to a bounced client, drawn from half of it upwards
+constexpr Seconds kListRetryDelay = 1.0;  // s: before following the list anew after a failure
+constexpr Seconds kRetention = 30.0;      // s: how long an object counts as asked for before
+constexpr Seconds kSweepInterval = 5.0;   // s: between sweeps of what is no longer needed
+constexpr Seconds kMinCopyAge = 1e-5;     // s: an age bound must never round to 0, which means any age
+constexpr int kMaxCachesPerRequest =
+    2;  // caches by the hash that a request may go to when others are crowded
+
+constexpr Seconds kLocalFailureDelay = 0.02;  // s: after a failure of our own side; doubles each time
+constexpr int kMaxLocalFailures = 8;          // of one request: by then its pauses have come to 2.5 s
+
+constexpr int kNoNode = -1;
+constexpr Seconds kDistantPast = -1e9;
+constexpr Seconds kDistantFuture = 1e18;
 
 // A mean whose past fades with kSpan, so that the weight is what was heard lately.
 struct Average {
   double sum = 0, weight = 0;
-  Seconds at = 0;
-  void add(Seconds now, double value, double by) {
-    const double fade = std::exp((at - now) / kSpan);
+  Seconds updated_at = 0;
+  void add(Seconds now, double value, double added_weight) {
+    const double fade = std::exp((updated_at - now) / kAverageSpan);
     sum = sum * fade + value;
-    weight = weight * fade + by;
-    at = now;
+    weight = weight * fade + added_weight;
+    updated_at = now;
   }
-  bool heard() const { return weight > 0; }
+  bool has_data() const { return weight > 0; }
   double mean() const { return sum / weight; }
-  double per_second(Seconds now) const { return sum * std::exp((at - now) / kSpan) / kSpan; }
-  double times_a_second(Seconds now) const { return weight * std::exp((at - now) / kSpan) / kSpan; }
+  double sum_per_second(Seconds now) const {
+    return sum * std::exp((updated_at - now) / kAverageSpan) / kAverageSpan;
+  }
+  double weight_per_second(Seconds now) const {
+    return weight * std::exp((updated_at - now) / kAverageSpan) / kAverageSpan;
+  }
 };
 
-std::uint64_t mix(std::uint64_t x) {
-  x += 0x9e3779b97f4a7c15u;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
-  return x ^ (x >> 31);
+std::uint64_t mix(std::uint64_t value) {
+  value += 0x9e3779b97f4a7c15u;
+  value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9u;
+  value = (value ^ (value >> 27)) * 0x94d049bb133111ebu;
+  return value ^ (value >> 31);
 }
 
 // A number between 0 and 1 that looks drawn, but is the same wherever the key is.
-double unit_draw(std::uint64_t key) {
+double hash_to_unit_interval(std::uint64_t key) {
   return (static_cast<double>(mix(key) >> 11) + 0.5) / 9007199254740992.0;
 }
 
@@ -126,70 +145,73 @@
   return mix(hash);
 }
 
-enum class Effect { kRetriable, kFingerprinted, kBinding };
+enum class Effect { kRetryable, kDeduplicated, kNotRetryable };
 
 struct RequestClass {
-  Seconds contract = 0.5, window = 0, fresh = 0, grace = 0;
-  double stretch = 0;
-  Effect effect = Effect::kBinding;  // an unknown effect is treated as the strictest
-  std::string group = "all";
-  bool through = false;
-  Average send;
+  Seconds base_latency_target = 0.5, dedup_window = 0, fresh_for = 0, stale_for = 0;
+  double latency_target_stretch = 0;
+  Effect effect = Effect::kNotRetryable;  // an unknown effect is treated as the strictest
+  std::string dedup_scope = "all";
+  bool goes_to_origin = false;
+  Average send_times;
 };
 
 struct Attempt {
-  int node = kNobody, source = kNobody;
-  Seconds sent = 0, patience = 0;
-  bool out = true, cancelled = false, trial = false, in_room = true, late = false;
+  int node = kNoNode, source = kNoNode;
+  Seconds sent_at = 0, late_after = 0;
+  bool in_flight = true, cancelled = false, is_trial = false, occupies_node = true, marked_late = false;
   double source_charge = 0, trial_charge = 0;  // trial_charge: at a node that may have restarted
 };
 
 struct Request {
   RequestId id;
   int request_class = 0;
-  std::uint64_t object = 0, unit = 0;
+  std::uint64_t object = 0, part_key = 0;
   std::int64_t group = 0;
-  Seconds arrived = 0, deadline = 0, resume_at = kLongAgo, first_ran = 0;
-  double size_kb = 0, lot = 0;
-  bool write = false, hot = false, known = false, no_origin = false, in_vain = false, under_way = false;
-  bool over = false, bound = false, may_have_run = false, overdue = false, stale_will_do = false;
-  bool cut_short = false;  // its deadline is the director's end
-  int first_node = kNobody, looks = 0, local_failures = 0;
-  std::vector<Attempt> offs;
-  std::vector<int> bad_nodes, bad_sources;
+  Seconds arrived_at = 0, deadline = 0, resume_at = kDistantPast, first_sent_at = 0;
+  double size_kb = 0, admission_draw = 0;
+  bool write = false, hot = false, requested_before = false, origin_excluded = false, fill_failed = false,
+       fill_in_progress = false;
+  bool finished = false, answer_started = false, may_have_run = false, overdue = false, accepts_stale = false;
+  bool deadline_capped = false;  // its deadline is the director's end
+  int first_node = kNoNode, lookups = 0, local_failures = 0;
+  std::vector<Attempt> attempts;
+  std::vector<int> excluded_nodes, excluded_sources;
   mutable std::vector<int> caches, parents;  // by the hash, as the list stood at that turn of it
-  mutable std::uint64_t caches_turn = 0, parents_turn = 0;
-  int out() const {
-    return static_cast<int>(std::count_if(offs.begin(), offs.end(), [](const Attempt& h) { return h.out; }));
+  mutable std::uint64_t cache_order_version = 0, parent_order_version = 0;
+  int in_flight_count() const {
+    return static_cast<int>(std::count_if(attempts.begin(), attempts.end(),
+                                          [](const Attempt& attempt) { return attempt.in_flight; }));
   }
 };
 
-struct Unit {  // what is remembered of an object's part
-  double bytes = 0;
-  Seconds at = kLongAgo;
+struct PartUsage {  // what is remembered of an object's part
+  double recent_kb = 0;
+  Seconds last_request_at = kDistantPast;
 };
 
 // Places of nodes by what they are to this director.
 struct SortedNodes {
   std::vector<int> parents;     // of all zones
   std::vector<int> own_caches;  // of the own zone, and of the director's group where it uses one
-  int origin = kNobody;
+  int origin = kNoNode;
   int cache_groups = 1;  // into which the zone's caches fall (policy/cache_group.hpp)
 };
 
 // How many requests this director gets, looked at now and then.
 struct OwnTraffic {
-  Seconds since = kLongAgo;          // of the first look that saw any
-  double most_requests_in_idle = 0;  // in the time that a connection may rest, while it was busiest
-  bool is_known(Seconds now) const { return since > kLongAgo && now - since >= kSpan; }
-  void look(Seconds now, const Average& sends, Seconds connection_idle) {
-    if (!sends.heard()) return;
-    if (since == kLongAgo) since = now;
-    most_requests_in_idle = std::max(most_requests_in_idle, sends.times_a_second(now) * connection_idle);
+  Seconds known_since = kDistantPast;     // of the first look that saw any
+  double max_requests_per_idle_time = 0;  // in the time that a connection may rest, while it was busiest
+  bool is_known(Seconds now) const { return known_since > kDistantPast && now - known_since >= kAverageSpan; }
+  void sample(Seconds now, const Average& send_times, Seconds connection_idle) {
+    if (!send_times.has_data()) return;
+    if (known_since == kDistantPast) known_since = now;
+    max_requests_per_idle_time =
+        std::max(max_requests_per_idle_time, send_times.weight_per_second(now) * connection_idle);
   }
 };
 
-bool holds(const std::vector<int>& list, int node) {
+bool contains(const std::vector<int>& list, int node) {
   return std::find(list.begin(), list.end(), node) != list.end();
 }
 
@@ -198,101 +220,103 @@
 struct Director::State {
   struct Rule {
     const char* name;
-    bool (State::*when)(const Request&);
-    void (State::*then)(Request&);
+    bool (State::*condition)(const Request&);
+    void (State::*effect)(Request&);
   };
   static const std::vector<Rule> kRules;
 
-  State(Seconds start, Settings given, std::uint64_t seed, Actions& sink)
-      : settings(std::move(given)),
-        actions(sink),
-        chance(static_cast<std::uint_fast32_t>(mix(seed))),
+  State(Seconds start, Settings initial_settings, std::uint64_t seed, Actions& action_sink)
+      : settings(std::move(initial_settings)),
+        actions(action_sink),
+        random_engine(static_cast<std::uint_fast32_t>(mix(seed))),
         director_hash(mix(mix(seed))),
         now(start),
-        began(start) {
-    for (int i = 0; i < number("RequestClasses.count", 1); ++i) {
+        director_started_at(start) {
+    for (int i = 0; i < number_setting("RequestClasses.count", 1); ++i) {
       const std::string at = "RequestClasses." + std::to_string(i) + ".";
       RequestClass request_class;
-      request_class.contract = number(at + "PromiseS", request_class.contract);
-      request_class.stretch = number(at + "AimStretch", 0);
-      request_class.window = number(at + "WindowS", 0);
-      request_class.group = text(at + "Group", "all");
-      const std::string effect = text(at + "Effect", "fragile");
-      if (effect == "retryable") request_class.effect = Effect::kRetriable;
-      if (effect == "dedup") request_class.effect = Effect::kFingerprinted;
-      request_class.fresh = std::atof(item("FamilyInfo.GoodForS", i, "0").c_str());
-      request_class.grace = std::atof(item("FamilyInfo.StaleForS", i, "0").c_str());
-      request_class.through = item("FamilyInfo.GoesThrough", i, "false") == "true";
+      request_class.base_latency_target = number_setting(at + "PromiseS", request_class.base_latency_target);
+      request_class.latency_target_stretch = number_setting(at + "AimStretch", 0);
+      request_class.dedup_window = number_setting(at + "WindowS", 0);
+      request_class.dedup_scope = text_setting(at + "Group", "all");
+      const std::string effect = text_setting(at + "Effect", "fragile");
+      if (effect == "retryable") request_class.effect = Effect::kRetryable;
+      if (effect == "dedup") request_class.effect = Effect::kDeduplicated;
+      request_class.fresh_for = std::atof(list_item_setting("FamilyInfo.GoodForS", i, "0").c_str());
+      request_class.stale_for = std::atof(list_item_setting("FamilyInfo.StaleForS", i, "0").c_str());
+      request_class.goes_to_origin = list_item_setting("FamilyInfo.GoesThrough", i, "false") == "true";
       request_classes.push_back(request_class);
     }
-    here = static_cast<int>(number("Locality", 0));
+    own_zone = static_cast<int>(number_setting("Locality", 0));
     read_permissions();
-    parent_kind = static_cast<int>(number("FamilyInfo.ShieldKind", -1));
-    origin_kind = static_cast<int>(number("FamilyInfo.OriginKind", -1));
-    flow = number("FamilyInfo.StreamKbPerS", 0);
-    if (text("MembershipMode", "push") == "ask") actions.watch_list();
-    actions.set_timer(now + kSweepEvery, {"sweep"});
+    parent_kind = static_cast<int>(number_setting("FamilyInfo.ShieldKind", -1));
+    origin_kind = static_cast<int>(number_setting("FamilyInfo.OriginKind", -1));
+    transfer_kb_per_s = number_setting("FamilyInfo.StreamKbPerS", 0);
+    if (text_setting("MembershipMode", "push") == "ask") actions.watch_list();
+    actions.set_timer(now + kSweepInterval, {"sweep"});
   }
 
-  State& at(Seconds time) { return now = time, *this; }
+  State& advance_to(Seconds time) { return now = time, *this; }
 
   // --- settings ---
-  std::string text(const std::string& name, const std::string& fallback) const {
+  std::string text_setting(const std::string& name, const std::string& fallback) const {
     const auto found = settings.find(name);
     return found == settings.end() || found->second.empty() ? fallback : found->second;
   }
-  double number(const std::string& name, double fallback) const {
-    const std::string value = text(name, "");
+  double number_setting(const std::string& name, double fallback) const {
+    const std::string value = text_setting(name, "");
     return value.empty() ? fallback : std::atof(value.c_str());
   }
-  bool allowed(const std::string& name) const { return text(name, "false") == "true"; }
-  std::string item(const std::string& name, int place, const std::string& fallback) const {
-    std::istringstream items(text(name, ""));
+  bool flag_setting(const std::string& name) const { return text_setting(name, "false") == "true"; }
+  std::string list_item_setting(const std::string& name, int position, const std::string& fallback) const {
+    std::istringstream items(text_setting(name, ""));
     std::string found;
-    for (; place >= 0; --place)
+    for (; position >= 0; --position)
       if (!std::getline(items, found, ',')) return fallback;
     return found.empty() ? fallback : found;
   }
 
   // Read once: a look-up by name for each question of each request was most of what a request cost.
   void read_permissions() {
-    for (const auto& [name, value] :
-         std::initializer_list<std::pair<const char*, bool*>>{{"FamilyInfo.CanJoin", &can_join},
-                                                              {"FamilyInfo.Direct", &direct},
-                                                              {"Permissions.Cancel", &may_cancel},
-                                                              {"Permissions.SecondCopies", &second_copies},
-                                                              {"Permissions.RetryAfter", &may_advise}})
-      *value = allowed(name);
-    max_attempts = number("Permissions.MaxAttempts", 1);
-    most_advice = std::min(kComeBack, number("Permissions.MaxRetryAfterS", 0));
-    period = number("PeriodS", 0.001);
-    invalidations = policy::Invalidations(number("FamilyInfo.PurgeDoneS", 10) + 1);
-    parent_warms = number("FamilyInfo.ParentWarmsInS", 20), cache_warms = number("Contract.ColdS", 20);
-    parent_from = number("FamilyInfo.ParentColdFrom", 0.05),
-    cache_from = number("Contract.StartCapacity", 0.1);
-    fall_span = number("Contract.FallS", 3);
-    parent_limit = number("FamilyInfo.ParentLimitFactor", 2),
-    cache_limit = number("Contract.FallMultiple", 2);
-    zone_sharers = std::max(1.0, std::atof(item("FamilyInfo.SeatsByZone", here, "2").c_str()));
-    cache_sharers = zone_sharers;
-    connection_idle = number("Permissions.ConnIdleS", 15);
-    sharers_of_all = std::max(1.0, number("Balancers", 4));
-    peers_fill = text("FamilyInfo.PeersFill", "none") != "none";
-    tells_all = text("FamilyInfo.Tells", "none") == "all";
-    const std::string weights = text("Weights", "none");
-    weights_drift = weights == "live", weights_unknown = weights == "none" || weights_drift;
+    for (const auto& [name, value] : std::initializer_list<std::pair<const char*, bool*>>{
+             {"FamilyInfo.CanJoin", &can_join},
+             {"FamilyInfo.Direct", &may_bypass_caches},
+             {"Permissions.Cancel", &may_cancel},
+             {"Permissions.SecondCopies", &may_send_concurrent_attempts},
+             {"Permissions.RetryAfter", &may_send_retry_after}})
+      *value = flag_setting(name);
+    max_attempts = number_setting("Permissions.MaxAttempts", 1);
+    max_retry_after = std::min(kMaxRetryAfter, number_setting("Permissions.MaxRetryAfterS", 0));
+    clock_period = number_setting("PeriodS", 0.001);
+    invalidations = policy::Invalidations(number_setting("FamilyInfo.PurgeDoneS", 10) + 1);
+    parent_warmup_time = number_setting("FamilyInfo.ParentWarmsInS", 20),
+    cache_warmup_time = number_setting("Contract.ColdS", 20);
+    parent_start_fraction = number_setting("FamilyInfo.ParentColdFrom", 0.05),
+    cache_start_fraction = number_setting("Contract.StartCapacity", 0.1);
+    budget_span = number_setting("Contract.FallS", 3);
+    parent_budget_multiple = number_setting("FamilyInfo.ParentLimitFactor", 2),
+    cache_budget_multiple = number_setting("Contract.FallMultiple", 2);
+    directors_in_zone =
+        std::max(1.0, std::atof(list_item_setting("FamilyInfo.SeatsByZone", own_zone, "2").c_str()));
+    directors_per_cache = directors_in_zone;
+    connection_idle = number_setting("Permissions.ConnIdleS", 15);
+    directors_in_total = std::max(1.0, number_setting("Balancers", 4));
+    siblings_fill = text_setting("FamilyInfo.PeersFill", "none") != "none";
+    reports_answer_details = text_setting("FamilyInfo.Tells", "none") == "all";
+    const std::string weights = text_setting("Weights", "none");
+    weights_vary = weights == "live", weights_unknown = weights == "none" || weights_vary;
   }
 
   // --- nodes ---
-  bool is_parent(int n) const { return kind[n] == parent_kind; }
-  bool is_origin(int n) const { return kind[n] == origin_kind; }
-  int count() const { return static_cast<int>(name.size()); }
-  bool is_cache_kind(int n) const { return !is_parent(n) && !is_origin(n); }
-  bool is_cache(int n) const { return is_cache_kind(n) && zone[n] == here; }
+  bool is_parent(int node) const { return kind[node] == parent_kind; }
+  bool is_origin(int node) const { return kind[node] == origin_kind; }
+  int count() const { return static_cast<int>(node_id.size()); }
+  bool is_cache_kind(int node) const { return !is_parent(node) && !is_origin(node); }
+  bool is_cache(int node) const { return is_cache_kind(node) && zone[node] == own_zone; }
   int origin() const { return sorted_nodes().origin; }
   // Whenever a node or its kind or place changes: nobody goes through the whole fleet for a request.
-  void sort_out_kinds() {
-    ++list_turn;
+  void invalidate_sorted_nodes() {
+    ++list_version;
     nodes_are_sorted = false;
   }
   // Sorted when first asked for, and not with each entry: a list of thousands of nodes comes entry by entry.
@@ -303,720 +327,833 @@
   void sort_nodes() const {
     const int groups = sorted.cache_groups;
     sorted = SortedNodes();
-    for (int n = 0; n < count(); ++n) {
-      if (is_parent(n)) sorted.parents.push_back(n);
-      if (is_cache(n)) sorted.own_caches.push_back(n);
-      if (is_origin(n) && sorted.origin == kNobody) sorted.origin = n;
+    for (int node = 0; node < count(); ++node) {
+      if (is_parent(node)) sorted.parents.push_back(node);
+      if (is_cache(node)) sorted.own_caches.push_back(node);
+      if (is_origin(node) && sorted.origin == kNoNode) sorted.origin = node;
     }
-    sorted.cache_groups = choose_group_count(zone_figures(), groups);
-    cache_sharers = directors_of_group(zone_sharers, sorted.cache_groups);
+    sorted.cache_groups = choose_group_count(zone_statistics(), groups);
+    directors_per_cache = directors_of_group(directors_in_zone, sorted.cache_groups);
     if (sorted.cache_groups > 1) keep_own_group();
   }
-  ZoneFigures zone_figures() const {
-    ZoneFigures figures;
-    for (const int n : sorted.own_caches) {
-      if (!listed[n]) continue;
-      ++figures.caches;
-      figures.capacity += full_capacity(n);
+  ZoneStatistics zone_statistics() const {
+    ZoneStatistics statistics;
+    for (const int node : sorted.own_caches) {
+      if (!listed[node]) continue;
+      ++statistics.caches;
+      statistics.capacity += full_capacity(node);
     }
-    figures.directors = zone_sharers;
-    figures.demand = all_sends.per_second(now);
-    figures.traffic_is_known = traffic.is_known(now);
-    figures.requests_in_idle = traffic.most_requests_in_idle;
-    return figures;
+    statistics.directors = directors_in_zone;
+    statistics.demand = all_send_times.sum_per_second(now);
+    statistics.traffic_is_known = traffic.is_known(now);
+    statistics.requests_per_idle_time = traffic.max_requests_per_idle_time;
+    return statistics;
   }
   // Guards against connections to hundreds of caches in fleets of many times the usual size
   // (policy/cache_group.hpp). It hurts where few directors have a zone's traffic: objects are held once a
   // group. The hash over the parents stays whole.
   void keep_own_group() const {
     std::erase_if(sorted.own_caches,
-                  [&](int n) { return !in_group(hash[n], director_hash, sorted.cache_groups); });
+                  [&](int node) { return !in_group(node_hash[node], director_hash, sorted.cache_groups); });
   }
-  const std::vector<int>& of_kind(bool parents) const {
+  const std::vector<int>& nodes_of_kind(bool parents) const {
     return parents ? sorted_nodes().parents : sorted_nodes().own_caches;
   }
-  bool is_out(int n) const { return out_since[n] > kLongAgo; }
+  bool is_ejected(int node) const { return ejected_since[node] > kDistantPast; }
 
   // Arrays grow only while no place of a node that is long gone (sweep) can be had.
   int index_of(const NodeId& id) {
-    const auto [found, added] = index.emplace(id.value, count());
+    const auto [found, added] = node_index.emplace(id.value, count());
     if (!added) return found->second;
-    const int n = found->second =
-        static_cast<int>(std::find(name.begin(), name.end(), NodeId()) - name.begin());
-    const auto clear = [n](auto value, auto&... columns) {
-      (columns.resize(std::max<std::size_t>(columns.size(), n + 1)), ...);
-      ((columns[n] = value), ...);
+    const int node = found->second =
+        static_cast<int>(std::find(node_id.begin(), node_id.end(), NodeId()) - node_id.begin());
+    const auto clear = [node](auto value, auto&... columns) {
+      (columns.resize(std::max<std::size_t>(columns.size(), node + 1)), ...);
+      ((columns[node] = value), ...);
     };
-    clear(id, name), clear(hash_text(id.value), hash), clear(false, running, listed, fresh);
-    clear(-1, zone, kind, cell), clear(0, strikes, out_here, out_from), clear(0.0, back_off, work_out, room);
-    clear(Average(), fill_rate, held_share, serve_rate, hit_drag_of),
-        clear(decltype(ledger)::value_type(), ledger);
-    clear(kLongAgo, launched, start_guessed, stamped_start, out_since, next_trial, heard_at, filled_at,
-          cut_at),
+    clear(id, node_id), clear(hash_text(id.value), node_hash), clear(false, running, listed, in_current_list);
+    clear(-1, zone, kind, cell), clear(0, consecutive_failures, attempts_at, attempts_from),
+        clear(0.0, trial_backoff, work_out, concurrency_limit);
+    clear(Average(), fill_rate, hit_share, serve_rate, node_hit_slowdown),
+        clear(decltype(budget_charges)::value_type(), budget_charges);
+    clear(kDistantPast, started_at, assumed_start, node_reported_start, ejected_since, next_trial,
+          answered_at, filled_at, limit_decreased_at),
         clear(1.0, weight);
-    return n;
+    return node;
   }
 
   // Sizes that drift with load would move every home; there all count alike.
-  double hash_weight(int n) const { return weights_drift ? 1 : std::max(weight[n], 1e-3); }
+  double hash_weight(int node) const { return weights_vary ? 1 : std::max(weight[node], 1e-3); }
 
   std::vector<int> by_hash(std::uint64_t key, bool parents) const {
     std::vector<std::pair<double, int>> scored;
-    for (const int n : of_kind(parents)) {
-      if (!listed[n]) continue;
-      scored.emplace_back(-std::log(unit_draw(key ^ hash[n])) / hash_weight(n), n);
+    for (const int node : nodes_of_kind(parents)) {
+      if (!listed[node]) continue;
+      scored.emplace_back(-std::log(hash_to_unit_interval(key ^ node_hash[node])) / hash_weight(node), node);
     }
     std::sort(scored.begin(), scored.end());
     std::vector<int> order;
-    for (const auto& [score, n] : scored) order.push_back(n);
+    for (const auto& [score, node] : scored) order.push_back(node);
     return order;
   }
-  const std::vector<int>& caches_for(const Request& p) const {
-    if (std::exchange(p.caches_turn, list_turn) != list_turn) p.caches = by_hash(p.unit, false);
-    return p.caches;
+  const std::vector<int>& caches_for(const Request& request) const {
+    if (std::exchange(request.cache_order_version, list_version) != list_version)
+      request.caches = by_hash(request.part_key, false);
+    return request.caches;
   }
-  const std::vector<int>& parents_for(const Request& p) const {
-    if (std::exchange(p.parents_turn, list_turn) != list_turn) p.parents = by_hash(mix(p.object), true);
-    return p.parents;
+  const std::vector<int>& parents_for(const Request& request) const {
+    if (std::exchange(request.parent_order_version, list_version) != list_version)
+      request.parents = by_hash(mix(request.object), true);
+    return request.parents;
   }
 
   // --- the design: three bands, for siblings and parents alike ---
-  Average pooled(const std::vector<Average>& figures, bool parents) const {
+  Average pooled_mean(const std::vector<Average>& averages, bool parents) const {
     Average pool;
-    for (const int n : of_kind(parents))
-      if (figures[n].heard()) pool.add(0, figures[n].mean(), 1);
+    for (const int node : nodes_of_kind(parents))
+      if (averages[node].has_data()) pool.add(0, averages[node].mean(), 1);
     return pool;
   }
 
-  bool kept(int n) const {
-    const bool parent = is_parent(n);
-    const Average peers = pooled(fill_rate, parent);
-    const Average above = parent ? origin_rate : pooled(fill_rate, true);
+  bool passes_bands(int node) const {
+    const bool parent = is_parent(node);
+    const Average peers = pooled_mean(fill_rate, parent);
+    const Average upstream = parent ? origin_rate : pooled_mean(fill_rate, true);
     // An unheard cache counts as average; with nothing to compare with, nobody is dropped.
-    if (!above.heard() || !peers.heard()) return true;
-    const double high = above.mean(), low = kLowOfHigh * high;
-    const double rate = fill_rate[n].heard() ? fill_rate[n].mean() : peers.mean();
+    if (!upstream.has_data() || !peers.has_data()) return true;
+    const double high = upstream.mean(), low = kLowThresholdFactor * high;
+    const double rate = fill_rate[node].has_data() ? fill_rate[node].mean() : peers.mean();
     if (rate < low) return false;
     if (rate > high) return true;
     // Departure: a member that has just started holds little, and so do all after a purge of much. Its
     // share then says nothing of its worth, so it counts as average, or nobody would ever come back.
-    const Average shares = pooled(held_share, parent);
-    if (cold(n) || !held_share[n].heard() || (shares.heard() && shares.mean() <= kShareFloor)) return true;
-    return held_share[n].mean() > kShareFloor;
+    const Average shares = pooled_mean(hit_share, parent);
+    if (is_warming_up(node) || !hit_share[node].has_data() ||
+        (shares.has_data() && shares.mean() <= kMinHitShare))
+      return true;
+    return hit_share[node].mean() > kMinHitShare;
   }
 
   // --- budgets: guards against pushing over what has just started ---
-  Seconds warms_in(int n) const { return is_parent(n) ? parent_warms : cache_warms; }
-  bool cold(int n) const { return !is_origin(n) && now - launched[n] < warms_in(n); }
+  Seconds warmup_time(int node) const { return is_parent(node) ? parent_warmup_time : cache_warmup_time; }
+  bool is_warming_up(int node) const {
+    return !is_origin(node) && now - started_at[node] < warmup_time(node);
+  }
 
   // In transfers at full pace, where the list tells it.
-  double full_capacity(int n) const { return weights_unknown ? kUnknownLink : weight[n]; }
-  double present_capacity(int n) const {
-    const double full = full_capacity(n);
-    const double from = is_parent(n) ? parent_from : cache_from;
-    const double warmed = std::clamp((now - launched[n]) / warms_in(n), 0.0, 1.0);
+  double full_capacity(int node) const { return weights_unknown ? kDefaultCapacity : weight[node]; }
+  double present_capacity(int node) const {
+    const double full = full_capacity(node);
+    const double from = is_parent(node) ? parent_start_fraction : cache_start_fraction;
+    const double warmed = std::clamp((now - started_at[node]) / warmup_time(node), 0.0, 1.0);
     return full * (from + (1 - from) * warmed);
   }
-  double warmth(int n) const { return cold(n) ? present_capacity(n) / full_capacity(n) : 1; }
+  double warmup_fraction(int node) const {
+    return is_warming_up(node) ? present_capacity(node) / full_capacity(node) : 1;
+  }
 
   // A node that is left out for so long may have restarted unseen, and an answer to a trial takes it for just
   // started: what it is sent until then counts, against the capacity at a start.
-  bool may_have_restarted(int n) const { return !is_origin(n) && is_out(n) && now - out_since[n] > kLongOut; }
-  bool limited(int n) const { return cold(n) || may_have_restarted(n); }
-  double start_capacity(int n) const { return full_capacity(n) * (is_parent(n) ? parent_from : cache_from); }
+  bool may_have_restarted(int node) const {
+    return !is_origin(node) && is_ejected(node) && now - ejected_since[node] > kUnnoticedRestartAfter;
+  }
+  bool is_budget_limited(int node) const { return is_warming_up(node) || may_have_restarted(node); }
+  double start_capacity(int node) const {
+    return full_capacity(node) * (is_parent(node) ? parent_start_fraction : cache_start_fraction);
+  }
 
   // What this director may send a node of that capacity over any span, in seconds of sending. All directors
   // of a location share its caches, all directors together share the parents. Equal parts are safe without a
   // word between them; it costs speed where one director has most of the traffic.
-  double budget_share(int n, double capacity) const {
-    const double limit = is_parent(n) ? parent_limit : cache_limit;
-    return kBudgetPart * limit * capacity * fall_span / sharers(n);
+  double budget_share(int node, double capacity) const {
+    const double limit = is_parent(node) ? parent_budget_multiple : cache_budget_multiple;
+    return kBudgetFraction * limit * capacity * budget_span / directors_sharing(node);
   }
   // Guards against a director that restarts, has forgotten what it sent, and sends its share again: the share
   // counts as spent for a span after the director's own start. Only a node that the list tells to have
   // started since then had nothing from it. It costs a new director that span at nodes in slow start.
-  bool may_have_spent_share(int n) const {
-    const bool told = launched[n] != start_guessed[n];
-    const bool started_since = told && stamped_start[n] > began - kRestartTime;
-    return now < began + fall_span && !started_since;
-  }
-  bool has_budget(int n, double work) {
-    if (!limited(n)) return true;
-    if (may_have_spent_share(n)) return false;
+  bool may_have_spent_share(int node) const {
+    const bool start_is_listed = started_at[node] != assumed_start[node];
+    const bool started_since =
+        start_is_listed && node_reported_start[node] > director_started_at - kMinRestartTime;
+    return now < director_started_at + budget_span && !started_since;
+  }
+  bool has_budget(int node, double work) {
+    if (!is_budget_limited(node)) return true;
+    if (may_have_spent_share(node)) return false;
     double used = 0;
-    std::erase_if(ledger[n], [&](const auto& entry) { return entry.first <= now - fall_span; });
-    for (const auto& entry : ledger[n]) used += entry.second;
-    if (!may_have_restarted(n)) return used + work <= budget_share(n, present_capacity(n));
+    std::erase_if(budget_charges[node], [&](const auto& entry) { return entry.first <= now - budget_span; });
+    for (const auto& entry : budget_charges[node]) used += entry.second;
+    if (!may_have_restarted(node)) return used + work <= budget_share(node, present_capacity(node));
     // Where a share is less than a call, the pauses between trials hold the budget (trial_pause).
-    return used <= 0 || used + work <= budget_share(n, start_capacity(n));
+    return used <= 0 || used + work <= budget_share(node, start_capacity(node));
   }
-  double charge(int n, double work) {
-    if (!limited(n)) return 0;
-    ledger[n].emplace_back(now, work);
+  double charge_budget(int node, double work) {
+    if (!is_budget_limited(node)) return 0;
+    budget_charges[node].emplace_back(now, work);
     return work;
   }
   // Until the next trial of a node that is left out. Guards against trials of hundreds of directors that meet
   // a node which has just started: where a share is less than a call, each has its trial so much less often.
   // The first pause is drawn, since all may have left the node out at once.
-  Seconds trial_pause(int n, bool first) {
-    const double call = all_sends.heard() ? all_sends.mean() : kUnknownSend;
-    const double share = budget_share(n, start_capacity(n));
-    if (share >= call) return back_off[n];
-    const Seconds pause = fall_span * call / std::max(share, kLeastShare * call);
-    const double part = first ? std::uniform_real_distribution<double>(0, 1)(chance) : 1;
-    return std::max(back_off[n], part * pause);
+  Seconds trial_pause(int node, bool first) {
+    const double attempt_work = all_send_times.has_data() ? all_send_times.mean() : kDefaultSendTime;
+    const double share = budget_share(node, start_capacity(node));
+    if (share >= attempt_work) return trial_backoff[node];
+    const Seconds pause = budget_span * attempt_work / std::max(share, kMinBudgetShare * attempt_work);
+    const double fraction = first ? std::uniform_real_distribution<double>(0, 1)(random_engine) : 1;
+    return std::max(trial_backoff[node], fraction * pause);
   }
 
   // --- load: guards against a crowd that makes everybody late ---
   // How many of our transfers a node may hold at once, so that each ends well within its contract time. It
   // starts from the listed weight and follows what is measured, whatever slows the node down.
-  double first_room(int n) const { return std::max(1.0, kCrowd * full_capacity(n) / sharers(n)); }
-  double sharers(int n) const { return is_cache_kind(n) ? cache_sharers : sharers_of_all; }
+  double initial_concurrency_limit(int node) const {
+    return std::max(1.0, kInitialConcurrencyFactor * full_capacity(node) / directors_sharing(node));
+  }
+  double directors_sharing(int node) const {
+    return is_cache_kind(node) ? directors_per_cache : directors_in_total;
+  }
   // Requests earn alike, whatever their size: small ones find more room and draw better lots.
-  double extra(const Request& p) { return std::clamp(all_sends.mean() / send_time(p), 1 / kSizes, kSizes); }
-  bool has_room(const Request& p, int n) {
-    return out_here[n] < std::max(1.0, warmth(n) * room[n]) * extra(p);
+  double size_factor(const Request& request) {
+    return std::clamp(all_send_times.mean() / send_time(request), 1 / kMaxSizeFactor, kMaxSizeFactor);
   }
-  void measure_room(int n, double in_use, bool crowded, Seconds sent) {
-    if (!crowded && in_use >= kNearLimit * room[n]) room[n] += cut_at[n] == kLongAgo ? kGrowFirst : kGrow;
-    if (!crowded || sent <= cut_at[n]) return;  // it was out already when the room was last cut
-    room[n] = std::max(1.0, kCut * room[n]), cut_at[n] = now;
+  bool has_concurrency(const Request& request, int node) {
+    return attempts_at[node] <
+           std::max(1.0, warmup_fraction(node) * concurrency_limit[node]) * size_factor(request);
+  }
+  void adjust_concurrency_limit(int node, double in_use, bool overloaded, Seconds sent_at) {
+    if (!overloaded && in_use >= kNearLimitFraction * concurrency_limit[node])
+      concurrency_limit[node] +=
+          limit_decreased_at[node] == kDistantPast ? kInitialConcurrencyIncrease : kConcurrencyIncrease;
+    if (!overloaded || sent_at <= limit_decreased_at[node])
+      return;  // it was out already when the room was last cut
+    concurrency_limit[node] = std::max(1.0, kConcurrencyDecrease * concurrency_limit[node]),
+    limit_decreased_at[node] = now;
   }
 
   // --- health: guards against nodes that are silent, broken or cut off ---
   // Guards against a slow spell taken for silence where a director hears of a node only now and then: strikes
   // that an answer took back show how common they are by chance.
-  double strikes_out(int n) const {
-    const Average& false_strikes = is_parent(n) ? false_parents : false_caches;
-    const double common = false_strikes.heard() ? std::clamp(false_strikes.mean(), 1e-6, 0.9) : 0;
-    return common > 0 ? std::max<double>(kStrikesOut, std::log(kByChance) / std::log(common)) : kStrikesOut;
-  }
-  void strike(int n, int by) {
-    if (is_origin(n)) return;  // nobody could take its place, and nobody would try it again
-    strikes[n] += by;
-    if (is_out(n)) {
-      back_off[n] = std::min(2 * back_off[n], kTrialEvery);
-      next_trial[n] = now + trial_pause(n, false);
-    } else if (strikes[n] >= strikes_out(n)) {
-      out_since[n] = now, back_off[n] = kTrialFirst, next_trial[n] = now + trial_pause(n, true);
-      actions.log("left out: " + name[n].value);
+  double failures_to_eject(int node) const {
+    const Average& false_strikes = is_parent(node) ? false_parent_failures : false_cache_failures;
+    const double common = false_strikes.has_data() ? std::clamp(false_strikes.mean(), 1e-6, 0.9) : 0;
+    return common > 0 ? std::max<double>(kFailuresToEject, std::log(kFalseEjectionChance) / std::log(common))
+                      : kFailuresToEject;
+  }
+  void record_failure(int node, int failures) {
+    if (is_origin(node)) return;  // nobody could take its place, and nobody would try it again
+    consecutive_failures[node] += failures;
+    if (is_ejected(node)) {
+      trial_backoff[node] = std::min(2 * trial_backoff[node], kMaxTrialInterval);
+      next_trial[node] = now + trial_pause(node, false);
+    } else if (consecutive_failures[node] >= failures_to_eject(node)) {
+      ejected_since[node] = now, trial_backoff[node] = kFirstTrialDelay,
+      next_trial[node] = now + trial_pause(node, true);
+      actions.log("left out: " + node_id[node].value);
     }
   }
-  void answered(int n) {
-    (is_parent(n) ? false_parents : false_caches).add(now, strikes[n], 1 + strikes[n]);
-    heard_at[n] = now, strikes[n] = 0;
-    if (!is_out(n)) return;
-    if (now - out_since[n] > kLongOut) started(n, start_guessed[n] = now);
-    out_since[n] = kLongAgo;
-    actions.log("back: " + name[n].value);
+  void record_answer(int node) {
+    (is_parent(node) ? false_parent_failures : false_cache_failures)
+        .add(now, consecutive_failures[node], 1 + consecutive_failures[node]);
+    answered_at[node] = now, consecutive_failures[node] = 0;
+    if (!is_ejected(node)) return;
+    if (now - ejected_since[node] > kUnnoticedRestartAfter) record_start(node, assumed_start[node] = now);
+    ejected_since[node] = kDistantPast;
+    actions.log("back: " + node_id[node].value);
   }
   // Whatever was measured before a start tells nothing of what runs now.
-  void started(int n, Seconds at) {
-    if (at <= launched[n]) return;
-    launched[n] = at;
-    fill_rate[n] = held_share[n] = serve_rate[n] = hit_drag_of[n] = Average();
-    if (at > out_since[n]) strikes[n] = 0, out_since[n] = kLongAgo;  // what was silent runs no more
+  void record_start(int node, Seconds start) {
+    if (start <= started_at[node]) return;
+    started_at[node] = start;
+    fill_rate[node] = hit_share[node] = serve_rate[node] = node_hit_slowdown[node] = Average();
+    if (start > ejected_since[node])
+      consecutive_failures[node] = 0, ejected_since[node] = kDistantPast;  // what was silent runs no more
   }
 
   // --- figures of a request ---
-  RequestClass& request_class_of(const Request& p) { return request_classes[p.request_class]; }
-  double mean_send(const Request& p) {
-    const Average& send = request_class_of(p).send;
-    return send.heard() ? send.mean() : kUnknownSend;
+  RequestClass& request_class_of(const Request& request) { return request_classes[request.request_class]; }
+  double mean_send_time(const Request& request) {
+    const Average& send_times = request_class_of(request).send_times;
+    return send_times.has_data() ? send_times.mean() : kDefaultSendTime;
+  }
+  double send_time(const Request& request) {
+    return transfer_kb_per_s > 0 && request.size_kb > 0 ? request.size_kb / transfer_kb_per_s
+                                                        : mean_send_time(request);
+  }
+  Seconds expected_duration(const Request& request) {
+    return (send_time(request) + kAttemptOverhead) *
+           (duration_factor.has_data() ? duration_factor.mean() : 1.5);
   }
-  double send_time(const Request& p) { return flow > 0 && p.size_kb > 0 ? p.size_kb / flow : mean_send(p); }
-  Seconds expected(const Request& p) { return (send_time(p) + kSetup) * (pace.heard() ? pace.mean() : 1.5); }
-  Seconds contract_time(const Request& p) {
-    return request_class_of(p).contract + request_class_of(p).stretch * send_time(p);
+  Seconds latency_target(const Request& request) {
+    return request_class_of(request).base_latency_target +
+           request_class_of(request).latency_target_stretch * send_time(request);
   }
   // A further attempt only if the time left exceeds what it is expected to take. The first is always made:
   // after a slow spell nothing else would tell that things go faster again.
-  bool time_for_another(const Request& p) { return p.offs.empty() || p.deadline - now > expected(p); }
-  bool is_crowded(const Request& p, Seconds spent) {
-    return spent - send_time(p) > kTight * (contract_time(p) - send_time(p));
+  bool has_time_for_attempt(const Request& request) {
+    return request.attempts.empty() || request.deadline - now > expected_duration(request);
+  }
+  bool shows_overload(const Request& request, Seconds elapsed) {
+    return elapsed - send_time(request) >
+           kOverloadSlackFraction * (latency_target(request) - send_time(request));
   }
   // What our own side could not even ask for burdens no node and is not counted, but has a bound of its own.
-  bool attempts_left(const Request& p) const {
-    const auto sent = static_cast<double>(p.offs.size()) - p.local_failures;
-    return sent < max_attempts && p.local_failures < kLocalFailures;
+  bool has_attempts_left(const Request& request) const {
+    const auto attempts_sent = static_cast<double>(request.attempts.size()) - request.local_failures;
+    return attempts_sent < max_attempts && request.local_failures < kMaxLocalFailures;
   }
 
   // Rule 2: a fingerprinted request that may have run stays in the group that knows the repeat, and a further
   // attempt must end, not only begin, while repeats are dropped there: past the window it would run again.
-  Seconds window_left(const Request& p) { return p.first_ran + request_class_of(p).window - now; }
-  bool is_repeat(const Request& p) { return p.may_have_run || p.out() > 0; }
-  bool may_go_to(const Request& p, int n) {
-    const RequestClass& request_class = request_class_of(p);
-    if (request_class.effect == Effect::kRetriable || !is_repeat(p)) return true;
-    if (request_class.effect == Effect::kBinding || window_left(p) <= expected(p)) return false;
-    if (request_class.group == "zone") return zone[n] == zone[p.first_node];
-    if (request_class.group == "cell") return cell[n] == cell[p.first_node];
-    return request_class.group == "all";
+  Seconds dedup_window_left(const Request& request) {
+    return request.first_sent_at + request_class_of(request).dedup_window - now;
+  }
+  bool would_repeat(const Request& request) { return request.may_have_run || request.in_flight_count() > 0; }
+  bool may_send_to(const Request& request, int node) {
+    const RequestClass& request_class = request_class_of(request);
+    if (request_class.effect == Effect::kRetryable || !would_repeat(request)) return true;
+    if (request_class.effect == Effect::kNotRetryable ||
+        dedup_window_left(request) <= expected_duration(request))
+      return false;
+    if (request_class.dedup_scope == "zone") return zone[node] == zone[request.first_node];
+    if (request_class.dedup_scope == "cell") return cell[node] == cell[request.first_node];
+    return request_class.dedup_scope == "all";
   }
 
   // The design's spread: what passes a quarter of its home's rate. An unheard home counts as average.
-  bool is_hot(const Request& p, double bytes) {
-    const std::vector<int>& order = caches_for(p);
+  bool is_hot(const Request& request, double recent_kb) {
+    const std::vector<int>& order = caches_for(request);
     if (order.empty()) return false;
     double sum = 0, caches = 0;
-    for (const int n : sorted_nodes().own_caches)
-      if (serve_rate[n].heard()) sum += serve_rate[n].per_second(now), ++caches;
-    double rate = serve_rate[order[0]].per_second(now);
+    for (const int node : sorted_nodes().own_caches)
+      if (serve_rate[node].has_data()) sum += serve_rate[node].sum_per_second(now), ++caches;
+    double rate = serve_rate[order[0]].sum_per_second(now);
     if (rate <= 0 && caches > 0) rate = sum / caches;
-    return rate > 0 && bytes / kHotSpan > kHotShare * rate;
+    return rate > 0 && recent_kb / kHotObjectSpan > kHotObjectShare * rate;
   }
 
-  Seconds max_copy_age(const Request& p) {
-    const RequestClass& request_class = request_class_of(p);
-    Seconds bound = request_class.fresh > 0 && p.stale_will_do ? request_class.fresh + request_class.grace
-                                                               : request_class.fresh;
+  Seconds max_copy_age(const Request& request) {
+    const RequestClass& request_class = request_class_of(request);
+    Seconds bound = request_class.fresh_for > 0 && request.accepts_stale
+                        ? request_class.fresh_for + request_class.stale_for
+                        : request_class.fresh_for;
     // Rule 5: both kinds of purge count until every node must have dropped its older copies.
-    const auto purged_at = invalidations.latest_purge({p.object}, {p.group});
+    const auto purged_at = invalidations.latest_purge({request.object}, {request.group});
     if (!purged_at) return bound;
-    const Seconds since = std::max(now - *purged_at, kLeastAge);
+    const Seconds since = std::max(now - *purged_at, kMinCopyAge);
     return bound > 0 ? std::min(bound, since) : since;
   }
 
   // --- choices: pure, so that a rule may ask before it acts ---
-  struct Way {
-    int node = kNobody, source = kNobody, trial = kNobody;
-    explicit operator bool() const { return node != kNobody && source != kNobody; }
+  struct Route {
+    int node = kNoNode, source = kNoNode, trial_node = kNoNode;
+    explicit operator bool() const { return node != kNoNode && source != kNoNode; }
   };
-  bool trial_due(const Request& p, int n) {
-    return request_class_of(p).effect == Effect::kRetriable && p.offs.empty() && now >= next_trial[n];
+  bool trial_due(const Request& request, int node) {
+    return request_class_of(request).effect == Effect::kRetryable && request.attempts.empty() &&
+           now >= next_trial[node];
   }
 
   // The cache for a request: its home, or the next by the hash that can take it; of the top two for a spread
   // object the one with less of our work in hand. One that is left out gets a request now and then as a
   // trial.
-  Way choose_cache(const Request& p) {
-    const double work = mean_send(p);
-    std::vector<int> top;
-    int asked = 0;
-    for (const int n : caches_for(p)) {
-      if (asked == kTop) break;
-      if (!running[n] || holds(p.bad_nodes, n) || !may_go_to(p, n) || !has_budget(n, work)) continue;
-      if (is_out(n)) {
-        if (trial_due(p, n)) return {n, n, n};
+  Route choose_cache(const Request& request) {
+    const double work = mean_send_time(request);
+    std::vector<int> candidates;
+    int considered = 0;
+    for (const int node : caches_for(request)) {
+      if (considered == kMaxCachesPerRequest) break;
+      if (!running[node] || contains(request.excluded_nodes, node) || !may_send_to(request, node) ||
+          !has_budget(node, work))
+        continue;
+      if (is_ejected(node)) {
+        if (trial_due(request, node)) return {node, node, node};
         continue;
       }
-      ++asked;
-      if (!has_room(p, n)) continue;
-      top.push_back(n);
-      if (!p.hot || top.size() == 2) break;
+      ++considered;
+      if (!has_concurrency(request, node)) continue;
+      candidates.push_back(node);
+      if (!request.hot || candidates.size() == 2) break;
     }
-    if (top.empty()) return {};
-    const auto load = [&](int place) { return work_out[top[place]] / hash_weight(top[place]); };
-    const int n = top.size() == 2 && load(1) < load(0) ? top[1] : top[0];
-    return {n, n, kNobody};
+    if (candidates.empty()) return {};
+    const auto load = [&](int position) {
+      return work_out[candidates[position]] / hash_weight(candidates[position]);
+    };
+    const int node = candidates.size() == 2 && load(1) < load(0) ? candidates[1] : candidates[0];
+    return {node, node, kNoNode};
   }
 
-  bool can_give(const Request& p, int n) {
+  bool can_fill_from(const Request& request, int node) {
     // Guards against retries that keep a jam alive after its cause has gone: fills that failed are tried
     // again only in proportion to those that come in, whatever the number of directors.
-    if (p.in_vain && !is_cache_kind(n) && spare_fills < 1) return false;
-    return running[n] && !p.no_origin && !holds(p.bad_sources, n) && has_budget(n, send_time(p));
+    if (request.fill_failed && !is_cache_kind(node) && retry_budget < 1) return false;
+    return running[node] && !request.origin_excluded && !contains(request.excluded_sources, node) &&
+           has_budget(node, send_time(request));
   }
   // Guards against a location's link that all its directors fill at once, each within its own rooms: at each
   // report that it is full, a smaller part of the requests may start a fill from outside.
-  bool link_open(const Request& p) { return p.lot <= link_part; }
+  bool link_admits(const Request& request) { return request.admission_draw <= link_fraction; }
   // Guards against a crowd at the origin, whether it is slow, turns requests away or would stop: as fills
   // fail there, a smaller part of the requests may make a parent fetch; the others get what parents hold.
-  bool origin_open(const Request& p) { return is_write(p) || p.lot <= origin_part; }
+  bool origin_admits(const Request& request) {
+    return is_write(request) || request.admission_draw <= origin_fraction;
+  }
   // It grows by time, not by the number of answers: a director that hears of the origin only now and then
   // would else keep a cut for many seconds after its cause.
-  void measure_origin(double keep, Seconds sent) {
-    if (keep >= 1) {
-      ++origin_good;
-      const Seconds since = std::min(1.0, now - std::max(origin_heard, origin_cut_at));
-      origin_part = std::min(1.0, origin_part + kOriginGrow * since), origin_heard = now;
+  void adjust_origin_fraction(double factor, Seconds sent_at) {
+    if (factor >= 1) {
+      ++origin_good_answers;
+      const Seconds since = std::min(1.0, now - std::max(origin_answered_at, origin_decreased_at));
+      origin_fraction = std::min(1.0, origin_fraction + kOriginIncreasePerSecond * since),
+      origin_answered_at = now;
     }
-    if (keep >= 1 || sent <= origin_cut_at) return;
-    origin_part = std::max(kOriginLeast, keep * origin_part), origin_cut_at = origin_calm_at = now;
+    if (factor >= 1 || sent_at <= origin_decreased_at) return;
+    origin_fraction = std::max(kMinOriginFraction, factor * origin_fraction),
+    origin_decreased_at = origin_recovered_at = now;
   }
   // Guards against a queue at the origin that grows for seconds before the first refusal, while every late
   // fill is tried behind another parent too. Meets a slow origin as well; it hurts where waits vary by
   // nature.
-  double origin_pace(Seconds waited) {
-    const double most = kOriginSlow * std::max(usual_wait.mean(), kLeastWait);
-    if (waited > 0 && usual_wait.weight >= 2 && waited > most) return std::max(kOriginDeepest, most / waited);
-    if (waited > 0) usual_wait.add(now, waited, 1);
+  double origin_wait_factor(Seconds source_wait) {
+    const double longest_usual = kOriginSlowFactor * std::max(usual_origin_wait.mean(), kMinOriginWait);
+    if (source_wait > 0 && usual_origin_wait.weight >= 2 && source_wait > longest_usual)
+      return std::max(kMaxOriginSlowDecrease, longest_usual / source_wait);
+    if (source_wait > 0) usual_origin_wait.add(now, source_wait, 1);
     return 1;
   }
   // The objects let through are held before long; only others show that the origin is well again.
-  void calm_origin() {
-    if (now - origin_calm_at < kOriginCalm) return;
-    origin_part = std::min(1.0, 2 * origin_part), origin_calm_at = now;
+  void recover_origin_fraction() {
+    if (now - origin_recovered_at < kOriginRecoveryInterval) return;
+    origin_fraction = std::min(1.0, 2 * origin_fraction), origin_recovered_at = now;
   }
   // Most requests that name a source never need it: of those out, the usual part counts.
-  double in_use(int n) {
-    return (is_cache_kind(n) ? 0 : out_here[n]) + out_from[n] * (misses.heard() ? misses.mean() : 1);
+  double source_load(int node) {
+    return (is_cache_kind(node) ? 0 : attempts_at[node]) +
+           attempts_from[node] * (fill_ratio.has_data() ? fill_ratio.mean() : 1);
+  }
+  bool source_has_concurrency(const Request& request, int node) {
+    return source_load(node) < concurrency_limit[node] * size_factor(request);
   }
-  bool source_room(const Request& p, int n) { return in_use(n) < room[n] * extra(p); }
 
   // The design's companion: a spread object is filled from the other of the hash's top two. So is any other
   // while its cache has just started, and its home until then, the next by the hash, may still hold it.
   // Guards against a location's link that a release fills with copies which are there already; where the
   // other lacks it, that costs a moment and an attempt.
-  Way spread_way(const Request& p) {
-    const std::vector<int>& order = caches_for(p);
-    const bool took_over = !order.empty() && cold(order[0]) && !p.in_vain && p.looks == 0;
-    if ((!p.hot && !took_over) || !peers_fill) return {};
-    const Way way = choose_cache(p);
-    if (!way || way.trial != kNobody || (!p.hot && !cold(way.node))) return {};
+  Route sibling_route(const Request& request) {
+    const std::vector<int>& order = caches_for(request);
+    const bool cache_took_over =
+        !order.empty() && is_warming_up(order[0]) && !request.fill_failed && request.lookups == 0;
+    if ((!request.hot && !cache_took_over) || !siblings_fill) return {};
+    const Route route = choose_cache(request);
+    if (!route || route.trial_node != kNoNode || (!request.hot && !is_warming_up(route.node))) return {};
     for (std::size_t i = 0; i < std::min<std::size_t>(2, order.size()); ++i) {
-      const int n = order[i];
-      if (n == way.node || !can_give(p, n) || is_out(n)) continue;
-      if (kept(n)) return {way.node, n, kNobody};
-      if (trial_due(p, n)) return {way.node, n, n};
+      const int node = order[i];
+      if (node == route.node || !can_fill_from(request, node) || is_ejected(node)) continue;
+      if (passes_bands(node)) return {route.node, node, kNoNode};
+      if (trial_due(request, node)) return {route.node, node, node};
     }
     return {};
   }
 
   // All other fills, and retries after a sibling miss: the object's first kept parent by the hash.
-  int choose_parent(const Request& p, int& trial) {
-    if (!is_write(p) && !link_open(p)) return kNobody;
-    for (const int n : parents_for(p)) {
-      if (!can_give(p, n)) continue;
-      if (!is_out(n) && kept(n)) {
-        if (source_room(p, n)) return n;
+  int choose_parent(const Request& request, int& trial_node) {
+    if (!is_write(request) && !link_admits(request)) return kNoNode;
+    for (const int node : parents_for(request)) {
+      if (!can_fill_from(request, node)) continue;
+      if (!is_ejected(node) && passes_bands(node)) {
+        if (source_has_concurrency(request, node)) return node;
         continue;
       }
-      if (trial == kNobody && trial_due(p, n)) return trial = n;
+      if (trial_node == kNoNode && trial_due(request, node)) return trial_node = node;
     }
-    return kNobody;
+    return kNoNode;
   }
   // The origin is asked only when no parent is kept. One that is kept but crowded, or that has just refused,
   // does not count: the crowd would only move on to the origin, which all parents need.
-  bool any_parent_kept(const Request& p) {
-    for (const int n : sorted_nodes().parents)
-      if (running[n] && !is_out(n) && kept(n) && has_budget(n, send_time(p))) return true;
+  bool any_parent_eligible(const Request& request) {
+    for (const int node : sorted_nodes().parents)
+      if (running[node] && !is_ejected(node) && passes_bands(node) && has_budget(node, send_time(request)))
+        return true;
     return false;
   }
-  Way parent_way(const Request& p) {
-    Way way = choose_cache(p);
-    if (!way) return {};
-    way.source = choose_parent(p, way.trial);
-    return way;
-  }
-  int choose_origin(const Request& p) {
-    if (!is_write(p) && (!link_open(p) || !origin_open(p))) return kNobody;
-    const int n = origin();
-    return n != kNobody && can_give(p, n) && (is_write(p) || source_room(p, n)) ? n : kNobody;
-  }
-  Way origin_way(const Request& p) {
-    Way way = any_parent_kept(p) ? Way() : choose_cache(p);
-    way.source = choose_origin(p);
-    return way;
+  Route parent_route(const Request& request) {
+    Route route = choose_cache(request);
+    if (!route) return {};
+    route.source = choose_parent(request, route.trial_node);
+    return route;
+  }
+  int choose_origin(const Request& request) {
+    if (!is_write(request) && (!link_admits(request) || !origin_admits(request))) return kNoNode;
+    const int node = origin();
+    return node != kNoNode && can_fill_from(request, node) &&
+                   (is_write(request) || source_has_concurrency(request, node))
+               ? node
+               : kNoNode;
+  }
+  Route origin_route(const Request& request) {
+    Route route = any_parent_eligible(request) ? Route() : choose_cache(request);
+    route.source = choose_origin(request);
+    return route;
   }
   // While no source can take a fill, what the home holds can still be had: a copy may have come since a look.
-  Way held_way(const Request& p) {
-    return !p.offs.empty() && p.offs.back().source == p.offs.back().node ? Way() : choose_cache(p);
+  Route cached_route(const Request& request) {
+    return !request.attempts.empty() && request.attempts.back().source == request.attempts.back().node
+               ? Route()
+               : choose_cache(request);
   }
   // Guards against fills of what is being filled already, where a request can't join one: it asks for what
   // the home holds first, which costs a millisecond, and while the copy is under way again in a moment.
-  Way look_way(const Request& p) {
-    if (p.hot || p.in_vain || p.looks >= kLooks) return {};
+  Route lookup_route(const Request& request) {
+    if (request.hot || request.fill_failed || request.lookups >= kMaxLookups) return {};
     if (can_join) {
-      const std::vector<int>& parents = parents_for(p);
-      if (parents.empty() || !cold(parents[0])) return {};
+      const std::vector<int>& parents = parents_for(request);
+      if (parents.empty() || !is_warming_up(parents[0])) return {};
     }
-    if (p.looks > 0 && !p.under_way) return {};
-    const Way way = choose_cache(p);
-    return way && way.trial == kNobody && !cold(way.node) ? way : Way();
+    if (request.lookups > 0 && !request.fill_in_progress) return {};
+    const Route route = choose_cache(request);
+    return route && route.trial_node == kNoNode && !is_warming_up(route.node) ? route : Route();
   }
   // Past the caches, where the site lets us: only when none of them is up and warm enough to be asked.
-  Way straight_way(const Request& p) {
-    if (!direct || choose_cache(p)) return {};
-    Way way;
-    way.node = choose_parent(p, way.trial);
-    if (way.node == kNobody) way.node = choose_origin(p);
-    way.source = way.node;
-    if (way.node == kNobody || !may_go_to(p, way.node)) return {};
-    if (is_parent(way.node) && origin() != kNobody && can_give(p, origin())) way.source = origin();
-    return way;
+  Route direct_route(const Request& request) {
+    if (!may_bypass_caches || choose_cache(request)) return {};
+    Route route;
+    route.node = choose_parent(request, route.trial_node);
+    if (route.node == kNoNode) route.node = choose_origin(request);
+    route.source = route.node;
+    if (route.node == kNoNode || !may_send_to(request, route.node)) return {};
+    if (is_parent(route.node) && origin() != kNoNode && can_fill_from(request, origin()))
+      route.source = origin();
+    return route;
   }
   // A write is never kept: no hierarchy can serve it. It takes the way with the fewest parts that can fail.
-  Way write_way(const Request& p) {
-    const int origin = choose_origin(p);
-    if (origin != kNobody && direct && may_go_to(p, origin)) return {origin, origin, kNobody};
-    Way way = choose_cache(p);
-    way.source = origin;
-    return way ? way : parent_way(p);
+  Route write_route(const Request& request) {
+    const int origin = choose_origin(request);
+    if (origin != kNoNode && may_bypass_caches && may_send_to(request, origin))
+      return {origin, origin, kNoNode};
+    Route route = choose_cache(request);
+    route.source = origin;
+    return route ? route : parent_route(request);
   }
   // A copy past its fresh time, where the grade allows one and all else has failed.
-  Way stale_way(const Request& p) {
-    if (p.stale_will_do || request_class_of(p).grace <= 0) return {};
-    return choose_cache(p);
-  }
-
-  void attempt(Request& p, const Way& way) {
-    Attempt off;
-    off.node = way.node, off.source = way.source, off.sent = now, off.trial = way.trial != kNobody;
-    const double node_charge = charge(way.node, is_cache_kind(way.node) ? mean_send(p) : send_time(p));
-    if (!cold(way.node)) off.trial_charge = node_charge;
-    if (way.source != way.node) off.source_charge = charge(way.source, send_time(p));
-    if (off.trial)
-      next_trial[way.trial] = now + (is_out(way.trial) ? trial_pause(way.trial, false) : kTrialEvery);
-    if (p.in_vain && way.source != way.node && !is_cache_kind(way.source)) spare_fills -= 1;
-    const Seconds wait = expected(p), in_hand = contract_time(p) - (now - p.arrived) - wait;
+  Route stale_route(const Request& request) {
+    if (request.accepts_stale || request_class_of(request).stale_for <= 0) return {};
+    return choose_cache(request);
+  }
+
+  void send_attempt(Request& request, const Route& route) {
+    Attempt new_attempt;
+    new_attempt.node = route.node, new_attempt.source = route.source, new_attempt.sent_at = now,
+    new_attempt.is_trial = route.trial_node != kNoNode;
+    const double node_charge =
+        charge_budget(route.node, is_cache_kind(route.node) ? mean_send_time(request) : send_time(request));
+    if (!is_warming_up(route.node)) new_attempt.trial_charge = node_charge;
+    if (route.source != route.node)
+      new_attempt.source_charge = charge_budget(route.source, send_time(request));
+    if (new_attempt.is_trial)
+      next_trial[route.trial_node] =
+          now + (is_ejected(route.trial_node) ? trial_pause(route.trial_node, false) : kMaxTrialInterval);
+    if (request.fill_failed && route.source != route.node && !is_cache_kind(route.source)) retry_budget -= 1;
+    const Seconds expected_time = expected_duration(request),
+                  slack = latency_target(request) - (now - request.arrived_at) - expected_time;
     // As long as a further attempt could still make the contract time; less for a member on trial, and where
     // lateness alone gives nothing up (late).
-    off.patience = off.trial || !second_copies ? kOverdue * wait : std::max(kOverdue * wait, in_hand);
+    new_attempt.late_after = new_attempt.is_trial || !may_send_concurrent_attempts
+                                 ? kLateFactor * expected_time
+                                 : std::max(kLateFactor * expected_time, slack);
     // At the origin itself what is usual there goes on top; what takes longer shows a queue.
-    if (is_origin(way.node) && usual_wait.heard())
-      off.patience = wait + std::max(usual_wait.mean(), kLeastWait);
-    const int rank = is_write(p) ? 0 : p.hot ? 3 : p.known ? 2 : 1;
-    const FillOptions fill = {.source = name[way.source],
+    if (is_origin(route.node) && usual_origin_wait.has_data())
+      new_attempt.late_after = expected_time + std::max(usual_origin_wait.mean(), kMinOriginWait);
+    const int rank = is_write(request) ? 0 : request.hot ? 3 : request.requested_before ? 2 : 1;
+    const FillOptions fill = {.source = node_id[route.source],
                               .rank = rank,
-                              .max_copy_age = max_copy_age(p),
+                              .max_copy_age = max_copy_age(request),
                               .join = can_join,
-                              .cached_only = is_parent(way.source) && !origin_open(p),
-                              .background_refresh = request_class_of(p).fresh > 0};
-    const bool repeatable = request_class_of(p).effect == Effect::kRetriable;
-    const bool call_back = second_copies || may_cancel;
-    const Seconds window =
-        request_class_of(p).effect == Effect::kFingerprinted && is_repeat(p) ? window_left(p) : 0;
-    if (!is_repeat(p)) p.first_node = way.node, p.first_ran = now;
-    p.offs.push_back(off);
-    p.overdue = false;
-    work_out[way.node] += send_time(p);
-    ++out_here[way.node], ++out_from[way.source];
-    actions.attempt(p.id, name[way.node], fill, repeatable && !call_back ? off.patience : window);
-    if ((repeatable && call_back) || is_origin(off.node)) watch(p, p.offs.size() - 1, off.patience);
-  }
-
-  void cut_deadline(Request& p) {
-    if (p.deadline <= deadline_cap) return;
-    p.deadline = deadline_cap;
-    p.cut_short = true;
-  }
-  void end_deadlines() {
+                              .cached_only = is_parent(route.source) && !origin_admits(request),
+                              .background_refresh = request_class_of(request).fresh_for > 0};
+    const bool repeatable = request_class_of(request).effect == Effect::kRetryable;
+    const bool acts_when_late = may_send_concurrent_attempts || may_cancel;
+    const Seconds dedup_window =
+        request_class_of(request).effect == Effect::kDeduplicated && would_repeat(request)
+            ? dedup_window_left(request)
+            : 0;
+    if (!would_repeat(request)) request.first_node = route.node, request.first_sent_at = now;
+    request.attempts.push_back(new_attempt);
+    request.overdue = false;
+    work_out[route.node] += send_time(request);
+    ++attempts_at[route.node], ++attempts_from[route.source];
+    actions.attempt(request.id, node_id[route.node], fill,
+                    repeatable && !acts_when_late ? new_attempt.late_after : dedup_window);
+    if ((repeatable && acts_when_late) || is_origin(new_attempt.node))
+      set_late_timer(request, request.attempts.size() - 1, new_attempt.late_after);
+  }
+
+  void cap_deadline(Request& request) {
+    if (request.deadline <= deadline_cap) return;
+    request.deadline = deadline_cap;
+    request.deadline_capped = true;
+  }
+  void reconsider_all() {
     for (const auto& [id, request] : requests) touched.push_back(id);
   }
 
   // --- the rules: conditions and effects ---
-  bool owed(const Request& p) { return !p.over && !p.bound; }
-  bool idle(const Request& p) { return owed(p) && p.out() == 0 && now >= p.resume_at; }
-  bool ready(const Request& p) {
-    if (!owed(p) || !attempts_left(p) || !time_for_another(p)) return false;
-    return idle(p) || (p.overdue && p.out() == 1 && second_copies);
-  }
-  bool is_write(const Request& p) { return p.write || request_class_of(p).through; }
-
-  bool is_quiet(const Request& p) { return p.over && p.out() == 0; }
-  void forget(Request& p) { requests.erase(RequestId(p.id)); }
-
-  bool has_leftovers(const Request& p) {
-    if (!p.over || !may_cancel) return false;
-    return std::any_of(p.offs.begin(), p.offs.end(), [](const Attempt& h) { return h.out && !h.cancelled; });
-  }
-  void call_off(Request& p) {
-    for (std::size_t i = 0; i < p.offs.size(); ++i) {
-      if (!p.offs[i].out || p.offs[i].cancelled) continue;
-      p.offs[i].cancelled = true;
-      actions.cancel(p.id, {static_cast<int>(i)});
+  bool is_unanswered(const Request& request) { return !request.finished && !request.answer_started; }
+  bool is_idle(const Request& request) {
+    return is_unanswered(request) && request.in_flight_count() == 0 && now >= request.resume_at;
+  }
+  bool can_send_attempt(const Request& request) {
+    if (!is_unanswered(request) || !has_attempts_left(request) || !has_time_for_attempt(request))
+      return false;
+    return is_idle(request) ||
+           (request.overdue && request.in_flight_count() == 1 && may_send_concurrent_attempts);
+  }
+  bool is_write(const Request& request) { return request.write || request_class_of(request).goes_to_origin; }
+
+  bool is_finished(const Request& request) { return request.finished && request.in_flight_count() == 0; }
+  void erase_request(Request& request) { requests.erase(RequestId(request.id)); }
+
+  bool has_open_attempts(const Request& request) {
+    if (!request.finished || !may_cancel) return false;
+    return std::any_of(request.attempts.begin(), request.attempts.end(),
+                       [](const Attempt& attempt) { return attempt.in_flight && !attempt.cancelled; });
+  }
+  void cancel_attempts(Request& request) {
+    for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+      if (!request.attempts[i].in_flight || request.attempts[i].cancelled) continue;
+      request.attempts[i].cancelled = true;
+      actions.cancel(request.id, {static_cast<int>(i)});
     }
   }
 
   // No answer is late by the client's own deadline then, so it is rejected like one that nobody can take.
-  bool is_cut_short(const Request& p) { return p.cut_short && time_is_up(p); }
-  bool time_is_up(const Request& p) { return owed(p) && now >= p.deadline - period; }
-  void fail(Request& p) { p.over = true, actions.fail(p.id); }
+  bool is_past_capped_deadline(const Request& request) {
+    return request.deadline_capped && is_past_deadline(request);
+  }
+  bool is_past_deadline(const Request& request) {
+    return is_unanswered(request) && now >= request.deadline - clock_period;
+  }
+  void fail(Request& request) { request.finished = true, actions.fail(request.id); }
 
   // Rule 2: a binding request that may have run gets no further attempt, and no promise; nor does a
   // fingerprinted one whose mark may be forgotten before its repeat, or its client's, has ended.
-  bool is_spent(const Request& p) {
-    const RequestClass& request_class = request_class_of(p);
-    const bool binding = request_class.effect == Effect::kBinding;
-    const bool late_copy = request_class.effect == Effect::kFingerprinted && window_left(p) <= expected(p);
-    const bool stuck = p.may_have_run && (binding || late_copy);
-    return idle(p) && (stuck || !attempts_left(p) || !time_for_another(p));
-  }
-  void give_up(Request& p) {
-    const RequestClass& request_class = request_class_of(p);
-    const bool harmless = request_class.effect == Effect::kRetriable || (!p.may_have_run && p.out() == 0) ||
-                          (request_class.effect == Effect::kFingerprinted && request_class.group == "all" &&
-                           window_left(p) > most_advice + expected(p));
-    if (!harmless) return fail(p);
-    p.over = true;
-    const double draw = std::uniform_real_distribution<double>(0.5, 1)(chance);
-    actions.reject(p.id, may_advise ? draw * most_advice : 0);
-  }
-
-  template <Way (State::*way)(const Request&)>
-  bool can(const Request& p) {
-    return ready(p) && !is_write(p) && (this->*way)(p);
-  }
-  template <Way (State::*way)(const Request&)>
-  void take(Request& p) {
-    attempt(p, (this->*way)(p));
-  }
-  bool has_write_way(const Request& p) { return ready(p) && is_write(p) && write_way(p); }
-  template <Way (State::*way)(const Request&)>
-  void look(Request& p) {
-    take<way>(p), ++p.looks, p.under_way = false;
-  }
-  void take_stale_way(Request& p) {
-    const Way way = stale_way(p);
-    p.stale_will_do = true;
-    attempt(p, way);
-  }
-
-  void wait(Request& p, Seconds pause) {
-    actions.set_timer(p.resume_at = now + pause, {"resume:" + p.id.value});
-  }
-  bool is_late_alone(const Request& p) { return owed(p) && p.overdue; }
-  void wait_on(Request& p) { p.overdue = false; }
-
-  void go_through_rules() {
+  bool has_no_attempt_left(const Request& request) {
+    const RequestClass& request_class = request_class_of(request);
+    const bool binding = request_class.effect == Effect::kNotRetryable;
+    const bool late_copy = request_class.effect == Effect::kDeduplicated &&
+                           dedup_window_left(request) <= expected_duration(request);
+    const bool stuck = request.may_have_run && (binding || late_copy);
+    return is_idle(request) && (stuck || !has_attempts_left(request) || !has_time_for_attempt(request));
+  }
+  void reject_or_fail(Request& request) {
+    const RequestClass& request_class = request_class_of(request);
+    const bool harmless =
+        request_class.effect == Effect::kRetryable ||
+        (!request.may_have_run && request.in_flight_count() == 0) ||
+        (request_class.effect == Effect::kDeduplicated && request_class.dedup_scope == "all" &&
+         dedup_window_left(request) > max_retry_after + expected_duration(request));
+    if (!harmless) return fail(request);
+    request.finished = true;
+    const double draw = std::uniform_real_distribution<double>(0.5, 1)(random_engine);
+    actions.reject(request.id, may_send_retry_after ? draw * max_retry_after : 0);
+  }
+
+  template <Route (State::*route)(const Request&)>
+  bool has_route(const Request& request) {
+    return can_send_attempt(request) && !is_write(request) && (this->*route)(request);
+  }
+  template <Route (State::*route)(const Request&)>
+  void send_on_route(Request& request) {
+    send_attempt(request, (this->*route)(request));
+  }
+  bool has_write_route(const Request& request) {
+    return can_send_attempt(request) && is_write(request) && write_route(request);
+  }
+  template <Route (State::*route)(const Request&)>
+  void send_lookup(Request& request) {
+    send_on_route<route>(request), ++request.lookups, request.fill_in_progress = false;
+  }
+  void send_on_stale_route(Request& request) {
+    const Route route = stale_route(request);
+    request.accepts_stale = true;
+    send_attempt(request, route);
+  }
+
+  void resume_after(Request& request, Seconds pause) {
+    actions.set_timer(request.resume_at = now + pause, {"resume:" + request.id.value});
+  }
+  bool is_overdue(const Request& request) { return is_unanswered(request) && request.overdue; }
+  void keep_waiting(Request& request) { request.overdue = false; }
+
+  void apply_rules() {
     for (std::size_t i = 0; i < touched.size(); ++i) {
-      for (Request* p = held(touched[i]); p; p = held(touched[i])) {
-        const auto fires = [&](const Rule& rule) { return (this->*rule.when)(*p); };
+      for (Request* request = find_request(touched[i]); request; request = find_request(touched[i])) {
+        const auto fires = [&](const Rule& rule) { return (this->*rule.condition)(*request); };
         const auto rule = std::find_if(kRules.begin(), kRules.end(), fires);
         if (rule == kRules.end()) break;
-        (this->*rule->then)(*p);
+        (this->*rule->effect)(*request);
       }
     }
     touched.clear();
   }
 
   // --- what is learnt from outcomes ---
-  void learn(Request& p, Attempt& off, Result result, AnswerDetail note, Seconds waited, Seconds spent) {
-    const int c = off.node, s = off.source;
-    const bool asked = s != c;
-    const bool lost = note == AnswerDetail::kSourceLost;
+  void record_outcome(Request& request, Attempt& attempt, Result result, AnswerDetail detail,
+                      Seconds source_wait, Seconds elapsed) {
+    const int cache = attempt.node, source_node = attempt.source;
+    const bool has_source = source_node != cache;
+    const bool source_lost = detail == AnswerDetail::kSourceLost;
     if (result == Result::kCompleted || result == Result::kError || result == Result::kAbsent ||
         result == Result::kRejected)
-      answered(c);
+      record_answer(cache);
     switch (result) {
       case Result::kCompleted: {
-        const bool filled = note == AnswerDetail::kFilled || note == AnswerDetail::kFilledByOrigin;
-        const bool measurable = p.size_kb > 0 && send_time(p) >= kMeasurable && spent > 0;
-        const bool crowded = is_crowded(p, spent);
-        if (asked) misses.add(now, filled ? 1 : 0, 1);
-        if (spent > 0) pace.add(now, spent, send_time(p) + kSetup);
-        serve_rate[c].add(now, p.size_kb, 1);
-        if (measurable && !filled) measure_room(c, out_here[c] + 1, crowded, off.sent);
-        if (measurable && note == AnswerDetail::kHit)
-          hit_drag.add(now, spent, send_time(p)), hit_drag_of[c].add(now, spent, send_time(p));
+        const bool filled = detail == AnswerDetail::kFilled || detail == AnswerDetail::kFilledByOrigin;
+        const bool measurable =
+            request.size_kb > 0 && send_time(request) >= kMinMeasurableTransfer && elapsed > 0;
+        const bool overloaded = shows_overload(request, elapsed);
+        if (has_source) fill_ratio.add(now, filled ? 1 : 0, 1);
+        if (elapsed > 0) duration_factor.add(now, elapsed, send_time(request) + kAttemptOverhead);
+        serve_rate[cache].add(now, request.size_kb, 1);
+        if (measurable && !filled)
+          adjust_concurrency_limit(cache, attempts_at[cache] + 1, overloaded, attempt.sent_at);
+        if (measurable && detail == AnswerDetail::kHit)
+          hit_slowdown.add(now, elapsed, send_time(request)),
+              node_hit_slowdown[cache].add(now, elapsed, send_time(request));
         // A fill that never took place is taken off the source's budget, at the time it was charged: a later
         // entry would outlive the charge and let more through than the budget holds. Only a note tells it,
         // and a copy that is renewed behind its answer asks the source all the same.
-        if ((note == AnswerDetail::kHit || note == AnswerDetail::kJoined) && request_class_of(p).fresh <= 0 &&
-            off.source_charge > 0)
-          ledger[s].emplace_back(off.sent, -off.source_charge);
-        if (!asked || !filled) break;
-        const bool by_origin = is_origin(s) || (is_parent(s) && note == AnswerDetail::kFilledByOrigin);
-        answered(s), filled_at[s] = now;
-        if (!crowded) spare_fills = std::min(kSaved, spare_fills + kEarned);
+        if ((detail == AnswerDetail::kHit || detail == AnswerDetail::kJoined) &&
+            request_class_of(request).fresh_for <= 0 && attempt.source_charge > 0)
+          budget_charges[source_node].emplace_back(attempt.sent_at, -attempt.source_charge);
+        if (!has_source || !filled) break;
+        const bool by_origin =
+            is_origin(source_node) || (is_parent(source_node) && detail == AnswerDetail::kFilledByOrigin);
+        record_answer(source_node), filled_at[source_node] = now;
+        if (!overloaded) retry_budget = std::min(kMaxRetryBudget, retry_budget + kRetryBudgetPerFill);
         if (measurable) {
-          measure_room(s, (out_from[s] + 1) * misses.mean(), crowded, off.sent);
-          fill_rate[s].add(now, p.size_kb, spent);
-          if (!is_cache_kind(s) && hit_drag.heard())
-            measure_link(spent - waited,
-                         send_time(p) * (hit_drag_of[c].heard() ? hit_drag_of[c] : hit_drag).mean());
-          if (by_origin) origin_rate.add(now, p.size_kb, spent);
+          adjust_concurrency_limit(source_node, (attempts_from[source_node] + 1) * fill_ratio.mean(),
+                                   overloaded, attempt.sent_at);
+          fill_rate[source_node].add(now, request.size_kb, elapsed);
+          if (!is_cache_kind(source_node) && hit_slowdown.has_data())
+            measure_link(
+                elapsed - source_wait,
+                send_time(request) *
+                    (node_hit_slowdown[cache].has_data() ? node_hit_slowdown[cache] : hit_slowdown).mean());
+          if (by_origin) origin_rate.add(now, request.size_kb, elapsed);
         }
-        if (by_origin) measure_origin(origin_pace(waited), off.sent);
+        if (by_origin) adjust_origin_fraction(origin_wait_factor(source_wait), attempt.sent_at);
         // Only full notes tell whether a parent held it; a sibling gives nothing else than what it holds.
-        if (is_cache_kind(s) || tells_all) held_share[s].add(now, note == AnswerDetail::kFilled ? 1 : 0, 1);
+        if (is_cache_kind(source_node) || reports_answer_details)
+          hit_share[source_node].add(now, detail == AnswerDetail::kFilled ? 1 : 0, 1);
         break;
       }
       case Result::kAbsent:
-        if (!asked && note == AnswerDetail::kJoined && !can_join && p.looks < kLooks &&
-            p.deadline - now > kLookAgain + expected(p))
-          p.under_way = true, wait(p, kLookAgain);
-        if (!asked) break;
-        if (is_cache_kind(s)) answered(s), held_share[s].add(now, 0, 1);
-        if (is_parent(s)) answered(s), p.no_origin = true;  // it was to give what it held
-        p.bad_sources.push_back(s);
+        if (!has_source && detail == AnswerDetail::kJoined && !can_join && request.lookups < kMaxLookups &&
+            request.deadline - now > kLookupRetryDelay + expected_duration(request))
+          request.fill_in_progress = true, resume_after(request, kLookupRetryDelay);
+        if (!has_source) break;
+        if (is_cache_kind(source_node)) record_answer(source_node), hit_share[source_node].add(now, 0, 1);
+        if (is_parent(source_node))
+          record_answer(source_node), request.origin_excluded = true;  // it was to give what it held
+        request.excluded_sources.push_back(source_node);
         break;
       case Result::kRejected:
       case Result::kError:
-        if (asked && (lost || note == AnswerDetail::kSourceRejected || note == AnswerDetail::kOriginFailed)) {
-          p.bad_sources.push_back(s), p.in_vain = true;
+        if (has_source && (source_lost || detail == AnswerDetail::kSourceRejected ||
+                           detail == AnswerDetail::kOriginFailed)) {
+          request.excluded_sources.push_back(source_node), request.fill_failed = true;
           // What failed behind one parent fails behind the next, and the next try only adds to it.
-          if (note == AnswerDetail::kOriginFailed) p.no_origin = true;
-          if (!is_cache_kind(s) && !lost) measure_origin(kOriginCut, off.sent);
-          measure_room(s, 0, true, off.sent);
-          if (lost) strike(s, 1), fill_rate[s].add(now, 0, std::max(waited, kMeasurable));
-        } else if (result == Result::kRejected && is_origin(c)) {
+          if (detail == AnswerDetail::kOriginFailed) request.origin_excluded = true;
+          if (!is_cache_kind(source_node) && !source_lost)
+            adjust_origin_fraction(kOriginFailureDecrease, attempt.sent_at);
+          adjust_concurrency_limit(source_node, 0, true, attempt.sent_at);
+          if (source_lost)
+            record_failure(source_node, 1),
+                fill_rate[source_node].add(now, 0, std::max(source_wait, kMinMeasurableTransfer));
+        } else if (result == Result::kRejected && is_origin(cache)) {
           // Once may be the connection's fault; the next goes out on another.
-          if (p.offs.size() > 1) measure_origin(kOriginCut, off.sent);
-          if (p.deadline - now > 2 * kPause)
-            wait(p, kPause * std::uniform_real_distribution<double>(0.5, 1.5)(chance));
+          if (request.attempts.size() > 1) adjust_origin_fraction(kOriginFailureDecrease, attempt.sent_at);
+          if (request.deadline - now > 2 * kWriteRetryDelay)
+            resume_after(request,
+                         kWriteRetryDelay * std::uniform_real_distribution<double>(0.5, 1.5)(random_engine));
         } else if (result == Result::kRejected) {
-          p.bad_nodes.push_back(c);
+          request.excluded_nodes.push_back(cache);
         }
         break;
       case Result::kUnreachable:
       case Result::kBroken:
         // A trial that found nobody there is taken off: it reached no node that has just started.
-        if (result == Result::kUnreachable && off.trial_charge > 0)
-          ledger[c].emplace_back(off.sent, -off.trial_charge);
+        if (result == Result::kUnreachable && attempt.trial_charge > 0)
+          budget_charges[cache].emplace_back(attempt.sent_at, -attempt.trial_charge);
         // One broken attempt may be chance, and the home is still the best to ask. A node that died breaks
         // all that it held, and then can't be reached.
-        strike(c, result == Result::kBroken ? 1 : kStrikesOut);
-        if (is_out(c) || is_origin(c)) p.bad_nodes.push_back(c);
+        record_failure(cache, result == Result::kBroken ? 1 : kFailuresToEject);
+        if (is_ejected(cache) || is_origin(cache)) request.excluded_nodes.push_back(cache);
         break;
       case Result::kLocalFailure:
-        retry_after_local_failure(p);
+        retry_after_local_failure(request);
         break;
       default:
-        if (result == Result::kTimedOut) suspect(p, off);
+        if (result == Result::kTimedOut) blame_for_lateness(request, attempt);
     }
   }
   // Guards against a moment without local ports, descriptors or a route, in which all attempts of a request
   // would be used up at once. It says nothing of the node, which stays the best to ask.
-  void retry_after_local_failure(Request& p) {
-    const Seconds pause = kLocalPause * (1 << p.local_failures);
-    ++p.local_failures;
-    if (attempts_left(p) && p.deadline - now > pause + expected(p)) wait(p, pause);
-  }
-  void hear(const NodeId& id, const LoadReport& report) {
-    const auto node = index.find(id.value);
+  void retry_after_local_failure(Request& request) {
+    const Seconds pause = kLocalFailureDelay * (1 << request.local_failures);
+    ++request.local_failures;
+    if (has_attempts_left(request) && request.deadline - now > pause + expected_duration(request))
+      resume_after(request, pause);
+  }
+  void record_load_report(const NodeId& id, const LoadReport& report) {
+    const auto node = node_index.find(id.value);
     const auto link = report.find("x1");
-    if (node == index.end() || link == report.end() || !is_cache(node->second)) return;
-    link_told = true;
-    hear_link(link->second / kLinkFull);
+    if (node == node_index.end() || link == report.end() || !is_cache(node->second)) return;
+    link_is_reported = true;
+    adjust_link_fraction(link->second / kLinkFullReport);
   }
-  void hear_link(double fullness) {
-    if (now - link_heard < kReportEvery) return;
-    link_heard = now;
+  void adjust_link_fraction(double fullness) {
+    if (now - link_updated_at < kMinReportInterval) return;
+    link_updated_at = now;
     // In proportion to what is too much or too little: steps of one size swung between shut and open.
-    link_part = fullness > 1 ? std::max(kLinkLeast, link_part * std::max(kLinkCut, 1 / fullness))
-                             : std::min(1.0, link_part + kLinkGrow * (1 - fullness));
+    link_fraction = fullness > 1
+                        ? std::max(kMinLinkFraction, link_fraction * std::max(kMaxLinkDecrease, 1 / fullness))
+                        : std::min(1.0, link_fraction + kLinkIncrease * (1 - fullness));
   }
   // Stands in for the report where no node tells how full the location's link is: past it a fill is no slower
   // than a hit until the link is full, whichever source it comes from. Its wait for the source is left out.
   // Meets a slow link of all sources too; it hurts where a crowd at one parent slows most of our fills.
   void measure_link(Seconds sending, double bare) {
-    fill_drag.first += sending, fill_drag.second += bare;
-    if (link_told || now - link_heard < kReportEvery || ++fills_seen < kFillsTell) return;
-    hear_link(fill_drag.first / fill_drag.second / kDragFull);
-    fill_drag = {}, fills_seen = 0;
+    fill_slowdown.first += sending, fill_slowdown.second += bare;
+    if (link_is_reported || now - link_updated_at < kMinReportInterval ||
+        ++fills_measured < kFillsPerLinkEstimate)
+      return;
+    adjust_link_fraction(fill_slowdown.first / fill_slowdown.second / kFullLinkSlowdown);
+    fill_slowdown = {}, fills_measured = 0;
   }
 
   // Who is to blame for an attempt that stays out: the cache if not heard of since, else the source if
   // nothing has come from it since. If both have been heard of, they are slow, and no other would be faster.
-  bool suspect(Request& p, const Attempt& off) {
-    if (heard_at[off.node] < off.sent) {
-      strike(off.node, 1);
-      p.bad_nodes.push_back(off.node);
+  bool blame_for_lateness(Request& request, const Attempt& attempt) {
+    if (answered_at[attempt.node] < attempt.sent_at) {
+      record_failure(attempt.node, 1);
+      request.excluded_nodes.push_back(attempt.node);
       return true;
     }
-    const bool asked = off.source != off.node;
+    const bool has_source = attempt.source != attempt.node;
     // Late is late, whoever is to blame; but early in its slack, or far from its limit, it shows no crowd.
-    const int n = asked ? off.source : off.node;
-    const bool near = (asked ? in_use(n) : out_here[n]) >= kNearLimit * room[n];
-    measure_room(n, 0, near && is_crowded(p, now - off.sent), off.sent);
-    if (!asked || filled_at[off.source] >= off.sent) return false;
-    strike(off.source, 1);
-    p.bad_sources.push_back(off.source), p.in_vain = true;
+    const int node = has_source ? attempt.source : attempt.node;
+    const bool near_limit =
+        (has_source ? source_load(node) : attempts_at[node]) >= kNearLimitFraction * concurrency_limit[node];
+    adjust_concurrency_limit(node, 0, near_limit && shows_overload(request, now - attempt.sent_at),
+                             attempt.sent_at);
+    if (!has_source || filled_at[attempt.source] >= attempt.sent_at) return false;
+    record_failure(attempt.source, 1);
+    request.excluded_sources.push_back(attempt.source), request.fill_failed = true;
     return true;
   }
-  Request* held(const RequestId& id) {
+  Request* find_request(const RequestId& id) {
     const auto found = requests.find(id);
     return found == requests.end() ? nullptr : &found->second;
   }
@@ -1024,132 +1161,157 @@
   // heard of cache and parent since, but not of the fill, hears of the origin. Meets a slow and a crowded
   // one; it hurts where a parent's link is slow just then, for as long as its part takes to grow again. A
   // fill that takes long to send may be late by that alone.
-  bool must_be_the_origin(const Request& p, const Attempt& off) {
-    if (is_origin(off.node)) return true;
-    if (send_time(p) >= kMeasurable) return false;
-    if (now - off.sent < expected(p) + (usual_wait.heard() ? usual_wait.mean() : 0)) return false;
+  bool is_late_at_origin(const Request& request, const Attempt& attempt) {
+    if (is_origin(attempt.node)) return true;
+    if (send_time(request) >= kMinMeasurableTransfer) return false;
+    if (now - attempt.sent_at <
+        expected_duration(request) + (usual_origin_wait.has_data() ? usual_origin_wait.mean() : 0))
+      return false;
     // Silence blames a node only where it would have been heard of by now. A director with few requests hears
     // of nobody in that time: past the contract time a trouble of the origin, once known, is the likelier.
-    const bool past = origin_part < 1 && now - p.arrived > contract_time(p);
-    const auto heard = [&](const std::vector<Seconds>& at, const std::vector<Average>& news, int n) {
-      const bool due = news[n].times_a_second(now) * (now - off.sent) >= 1;
-      return is_origin(n) || at[n] > off.sent || (past && !due);
+    const bool past_target = origin_fraction < 1 && now - request.arrived_at > latency_target(request);
+    const auto answered_since = [&](const std::vector<Seconds>& times,
+                                    const std::vector<Average>& answer_rates, int node) {
+      const bool answer_is_due = answer_rates[node].weight_per_second(now) * (now - attempt.sent_at) >= 1;
+      return is_origin(node) || times[node] > attempt.sent_at || (past_target && !answer_is_due);
     };
-    return !is_cache_kind(off.source) && heard(heard_at, serve_rate, off.node) &&
-           heard(filled_at, held_share, off.source);
-  }
-  void late(const RequestId& id, std::size_t place) {
-    if (!held(id) || place >= held(id)->offs.size()) return;
-    Request& p = *held(id);
-    Attempt& off = p.offs[place];
-    if (!off.out || off.cancelled || !owed(p)) return;
-    const bool first = !std::exchange(off.late, true);
-    if (must_be_the_origin(p, off) && off.sent > origin_cut_at) {
+    return !is_cache_kind(attempt.source) && answered_since(answered_at, serve_rate, attempt.node) &&
+           answered_since(filled_at, hit_share, attempt.source);
+  }
+  void handle_late_attempt(const RequestId& id, std::size_t attempt_index) {
+    if (!find_request(id) || attempt_index >= find_request(id)->attempts.size()) return;
+    Request& request = *find_request(id);
+    Attempt& attempt = request.attempts[attempt_index];
+    if (!attempt.in_flight || attempt.cancelled || !is_unanswered(request)) return;
+    const bool first = !std::exchange(attempt.marked_late, true);
+    if (is_late_at_origin(request, attempt) && attempt.sent_at > origin_decreased_at) {
       // One among many in good time is chance: what came well since the last late one softens the cut.
-      measure_origin(1 - (1 - kOriginLate) / (1 + origin_good), off.sent);
-      origin_good = 0;
+      adjust_origin_fraction(1 - (1 - kOriginLateDecrease) / (1 + origin_good_answers), attempt.sent_at);
+      origin_good_answers = 0;
     }
-    if (request_class_of(p).effect != Effect::kRetriable) return;
+    if (request_class_of(request).effect != Effect::kRetryable) return;
     // Guards against waits on a slow source that keep hits out: a late fill gives its cache's room back.
-    if (off.source != off.node) out_here[off.node] -= std::exchange(off.in_room, false);
-    const bool suspected = first && suspect(p, off);
-    watch(p, place, std::max(expected(p), kSetup));  // bounds the wakes of one attempt
-    if (second_copies) {
+    if (attempt.source != attempt.node)
+      attempts_at[attempt.node] -= std::exchange(attempt.occupies_node, false);
+    const bool node_blamed = first && blame_for_lateness(request, attempt);
+    set_late_timer(
+        request, attempt_index,
+        std::max(expected_duration(request), kAttemptOverhead));  // bounds the wakes of one attempt
+    if (may_send_concurrent_attempts) {
       // Guards against a late fill for each parent while it is the origin behind all of them that is slow.
       // Hurts where a parent vanishes just then: its fills wait out their time until strikes leave it out.
-      if (is_parent(off.source) && origin_part < 1 && heard_at[off.node] >= off.sent) return;
-      p.overdue = suspected;
+      if (is_parent(attempt.source) && origin_fraction < 1 && answered_at[attempt.node] >= attempt.sent_at)
+        return;
+      request.overdue = node_blamed;
     } else {
       // Guards against giving up what would still have come, where a further attempt costs the one that is
       // out: most late ones come, and each made anew asks one more parent, and the origin, for the same.
       // Meets slow nodes, slow sources and crowds; it hurts where answers are lost, which wait to the end.
-      const bool gone = is_out(off.node) || is_out(off.source), can_fill = !p.in_vain || spare_fills >= 1;
-      off.cancelled = gone && can_fill && time_for_another(p) && attempts_left(p);
-      if (off.cancelled) actions.cancel(id, {static_cast<int>(place)});
+      const bool node_ejected = is_ejected(attempt.node) || is_ejected(attempt.source),
+                 can_fill = !request.fill_failed || retry_budget >= 1;
+      attempt.cancelled =
+          node_ejected && can_fill && has_time_for_attempt(request) && has_attempts_left(request);
+      if (attempt.cancelled) actions.cancel(id, {static_cast<int>(attempt_index)});
     }
     touched.push_back(id);
   }
-  void watch(const Request& p, std::size_t place, Seconds time) {
-    if (now + time < p.deadline)
-      actions.set_timer(now + time, {"late:" + std::to_string(place) + ":" + p.id.value});
+  void set_late_timer(const Request& request, std::size_t attempt_index, Seconds time) {
+    if (now + time < request.deadline)
+      actions.set_timer(now + time, {"late:" + std::to_string(attempt_index) + ":" + request.id.value});
   }
 
   void sweep() {
-    std::erase_if(units, [&](const auto& entry) { return now - entry.second.at > kRemember; });
+    std::erase_if(part_usage,
+                  [&](const auto& entry) { return now - entry.second.last_request_at > kRetention; });
     invalidations.expire(now);
     // Guards against ids that keep coming: a gone node is forgotten once nothing of it is out and its budget
     // is past. It hurts nobody: should the id come back, it counts as just started.
-    for (int n = 0; n < count(); ++n)
-      if (!listed[n] && out_here[n] + out_from[n] == 0 &&
-          now - std::max(launched[n], heard_at[n]) > kRemember)
-        index.erase(name[n].value), name[n] = NodeId(), zone[n] = kind[n] = -1;
-    traffic.look(now, all_sends, connection_idle);
-    sort_out_kinds();
-    actions.set_timer(now + kSweepEvery, {"sweep"});
+    for (int node = 0; node < count(); ++node)
+      if (!listed[node] && attempts_at[node] + attempts_from[node] == 0 &&
+          now - std::max(started_at[node], answered_at[node]) > kRetention)
+        node_index.erase(node_id[node].value), node_id[node] = NodeId(), zone[node] = kind[node] = -1;
+    traffic.sample(now, all_send_times, connection_idle);
+    invalidate_sorted_nodes();
+    actions.set_timer(now + kSweepInterval, {"sweep"});
   }
 
   std::vector<RequestId> touched;
   Settings settings;
   Actions& actions;
-  std::knuth_b chance;
+  std::knuth_b random_engine;
   std::uint64_t director_hash;
-  Seconds now, began;
-  Seconds deadline_cap = kNever;
+  Seconds now, director_started_at;
+  Seconds deadline_cap = kDistantFuture;
   std::vector<RequestClass> request_classes;
-  int here = 0, parent_kind = -1, origin_kind = -1;
-  bool can_join = false, direct = false, may_cancel = false, second_copies = false, may_advise = false;
-  bool peers_fill = false, tells_all = false, weights_drift = false, weights_unknown = false;
-  double max_attempts = 1, parent_from = 0, cache_from = 0, parent_limit = 2, cache_limit = 2;
-  double zone_sharers = 1, sharers_of_all = 1;
-  mutable double cache_sharers = 1;  // directors that share a cache; follows the groups
+  int own_zone = 0, parent_kind = -1, origin_kind = -1;
+  bool can_join = false, may_bypass_caches = false, may_cancel = false, may_send_concurrent_attempts = false,
+       may_send_retry_after = false;
+  bool siblings_fill = false, reports_answer_details = false, weights_vary = false, weights_unknown = false;
+  double max_attempts = 1, parent_start_fraction = 0, cache_start_fraction = 0, parent_budget_multiple = 2,
+         cache_budget_multiple = 2;
+  double directors_in_zone = 1, directors_in_total = 1;
+  mutable double directors_per_cache = 1;  // directors that share a cache; follows the groups
   Seconds connection_idle = 0;
   OwnTraffic traffic;
-  Seconds most_advice = 0, period = 0, parent_warms = 0, cache_warms = 0, fall_span = 0;
-  std::uint64_t list_turn = 1;
+  Seconds max_retry_after = 0, clock_period = 0, parent_warmup_time = 0, cache_warmup_time = 0,
+          budget_span = 0;
+  std::uint64_t list_version = 1;
   mutable SortedNodes sorted;
   mutable bool nodes_are_sorted = false;
-  double flow = 0, link_part = 1, origin_part = 1, spare_fills = kSaved, origin_good = 0;
-  Seconds link_heard = kLongAgo, origin_cut_at = kLongAgo, origin_calm_at = kLongAgo, origin_heard = kLongAgo;
-  ListCompleteness scope = ListCompleteness::kCached;
-  Average pace, origin_rate, usual_wait, misses, all_sends, false_caches, false_parents;
-  Average hit_drag;
-  std::pair<Seconds, double> fill_drag;
-  int fills_seen = 0;
-  bool link_told = false;
-
-  std::unordered_map<std::string, int> index;
-  std::vector<NodeId> name;
-  std::vector<std::uint64_t> hash;
-  std::vector<int> zone, kind, cell, strikes, out_here, out_from;
-  std::vector<char> running, listed, fresh;
-  std::vector<double> weight, work_out, room;
-  std::vector<Seconds> launched, start_guessed, stamped_start, out_since, next_trial, back_off, heard_at,
-      filled_at, cut_at;
-  std::vector<Average> fill_rate, held_share, serve_rate, hit_drag_of;
-  std::vector<std::vector<std::pair<Seconds, double>>> ledger;
+  double transfer_kb_per_s = 0, link_fraction = 1, origin_fraction = 1, retry_budget = kMaxRetryBudget,
+         origin_good_answers = 0;
+  Seconds link_updated_at = kDistantPast, origin_decreased_at = kDistantPast,
+          origin_recovered_at = kDistantPast, origin_answered_at = kDistantPast;
+  ListCompleteness completeness = ListCompleteness::kCached;
+  Average duration_factor, origin_rate, usual_origin_wait, fill_ratio, all_send_times, false_cache_failures,
+      false_parent_failures;
+  Average hit_slowdown;
+  std::pair<Seconds, double> fill_slowdown;
+  int fills_measured = 0;
+  bool link_is_reported = false;
+
+  std::unordered_map<std::string, int> node_index;
+  std::vector<NodeId> node_id;
+  std::vector<std::uint64_t> node_hash;
+  std::vector<int> zone, kind, cell, consecutive_failures, attempts_at, attempts_from;
+  std::vector<char> running, listed, in_current_list;
+  std::vector<double> weight, work_out, concurrency_limit;
+  std::vector<Seconds> started_at, assumed_start, node_reported_start, ejected_since, next_trial,
+      trial_backoff, answered_at, filled_at, limit_decreased_at;
+  std::vector<Average> fill_rate, hit_share, serve_rate, node_hit_slowdown;
+  std::vector<std::vector<std::pair<Seconds, double>>> budget_charges;
 
   std::map<RequestId, Request> requests;
-  std::unordered_map<std::uint64_t, Unit> units;
+  std::unordered_map<std::uint64_t, PartUsage> part_usage;
   policy::Invalidations invalidations{0};  // its lifetime is read with the settings
 };
 
 // From the top, until none fires. Each is a condition and an effect, both above.
 const std::vector<Director::State::Rule> Director::State::kRules = {
-    {"over and all heard: forget it", &State::is_quiet, &State::forget},
-    {"over with attempts out: call them off", &State::has_leftovers, &State::call_off},
-    {"the director ends: give it up", &State::is_cut_short, &State::give_up},
-    {"its time is up: forfeit", &State::time_is_up, &State::fail},
-    {"no further attempt may or can be made: give it up", &State::is_spent, &State::give_up},
-    {"a write: the shortest way to the origin", &State::has_write_way, &State::take<&State::write_way>},
-    {"look first: home, what it holds", &State::can<&State::look_way>, &State::look<&State::look_way>},
-    {"spread: filled from the other", &State::can<&State::spread_way>, &State::take<&State::spread_way>},
-    {"ordinary: a kept parent", &State::can<&State::parent_way>, &State::take<&State::parent_way>},
-    {"no parent kept: the origin", &State::can<&State::origin_way>, &State::take<&State::origin_way>},
-    {"no source: what home holds", &State::can<&State::held_way>, &State::look<&State::held_way>},
-    {"no cache: straight", &State::can<&State::straight_way>, &State::take<&State::straight_way>},
-    {"nothing fresh to be had: a stale copy", &State::can<&State::stale_way>, &State::take_stale_way},
-    {"late, and nobody else to ask: wait on", &State::is_late_alone, &State::wait_on},
-    {"nobody to ask: give it up", &State::idle, &State::give_up},
+    {"over and all heard: forget it", &State::is_finished, &State::erase_request},
+    {"over with attempts out: call them off", &State::has_open_attempts, &State::cancel_attempts},
+    {"the director ends: give it up", &State::is_past_capped_deadline, &State::reject_or_fail},
+    {"its time is up: forfeit", &State::is_past_deadline, &State::fail},
+    {"no further attempt may or can be made: give it up", &State::has_no_attempt_left,
+     &State::reject_or_fail},
+    {"a write: the shortest way to the origin", &State::has_write_route,
+     &State::send_on_route<&State::write_route>},
+    {"look first: home, what it holds", &State::has_route<&State::lookup_route>,
+     &State::send_lookup<&State::lookup_route>},
+    {"spread: filled from the other", &State::has_route<&State::sibling_route>,
+     &State::send_on_route<&State::sibling_route>},
+    {"ordinary: a kept parent", &State::has_route<&State::parent_route>,
+     &State::send_on_route<&State::parent_route>},
+    {"no parent kept: the origin", &State::has_route<&State::origin_route>,
+     &State::send_on_route<&State::origin_route>},
+    {"no source: what home holds", &State::has_route<&State::cached_route>,
+     &State::send_lookup<&State::cached_route>},
+    {"no cache: straight", &State::has_route<&State::direct_route>,
+     &State::send_on_route<&State::direct_route>},
+    {"nothing fresh to be had: a stale copy", &State::has_route<&State::stale_route>,
+     &State::send_on_stale_route},
+    {"late, and nobody else to ask: wait on", &State::is_overdue, &State::keep_waiting},
+    {"nobody to ask: give it up", &State::is_idle, &State::reject_or_fail},
 };
 
 // --- inputs ---
@@ -1157,146 +1319,158 @@
 Director::Director(Seconds now, Settings settings, std::uint64_t seed, Actions& actions)
     : state_(std::make_unique<State>(now, std::move(settings), seed, actions)) {}
 Director::~Director() = default;
-std::size_t Director::nodes_known() const { return state_->index.size(); }
+std::size_t Director::nodes_known() const { return state_->node_index.size(); }
 Seconds Director::max_copy_age(Seconds now, const RequestId& id) {
-  State& m = state_->at(now);
-  const Request* request = m.held(id);
-  return request ? m.max_copy_age(*request) : 0;
+  State& state = state_->advance_to(now);
+  const Request* request = state.find_request(id);
+  return request ? state.max_copy_age(*request) : 0;
 }
 
-void Director::list_starts(Seconds now, ListCompleteness scope) {
-  State& m = state_->at(now);
-  m.scope = scope;
-  if (scope == ListCompleteness::kFailed) m.actions.set_timer(now + kListAgain, {"list"});
-  if (scope == ListCompleteness::kFull || scope == ListCompleteness::kCached)
-    std::fill(m.fresh.begin(), m.fresh.end(), false);
+void Director::list_starts(Seconds now, ListCompleteness completeness) {
+  State& state = state_->advance_to(now);
+  state.completeness = completeness;
+  if (completeness == ListCompleteness::kFailed) state.actions.set_timer(now + kListRetryDelay, {"list"});
+  if (completeness == ListCompleteness::kFull || completeness == ListCompleteness::kCached)
+    std::fill(state.in_current_list.begin(), state.in_current_list.end(), false);
 }
 
-void Director::list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
-                          EndpointState endpoint_state, double weight, Seconds launched, Seconds stamped) {
-  State& m = state_->at(now);
-  const int n = m.index_of(node);
-  const bool newly = !m.listed[n] && m.scope == ListCompleteness::kChanges;
-  m.zone[n] = zone.value, m.kind[n] = kind.value, m.cell[n] = cell.value, m.weight[n] = weight;
-  m.listed[n] = m.fresh[n] = endpoint_state != EndpointState::kRemoved;
-  m.running[n] = endpoint_state == EndpointState::kRunning;
-  m.sort_out_kinds();
-  if (m.room[n] <= 0) m.room[n] = m.first_room(n);
+void Director::list_entry(Seconds now, const NodeId& id, ZoneIndex zone, KindIndex kind, CellIndex cell,
+                          EndpointState endpoint_state, double weight, Seconds started_at,
+                          Seconds reported_start) {
+  State& state = state_->advance_to(now);
+  const int node = state.index_of(id);
+  const bool newly_listed = !state.listed[node] && state.completeness == ListCompleteness::kChanges;
+  state.zone[node] = zone.value, state.kind[node] = kind.value, state.cell[node] = cell.value,
+  state.weight[node] = weight;
+  state.listed[node] = state.in_current_list[node] = endpoint_state != EndpointState::kRemoved;
+  state.running[node] = endpoint_state == EndpointState::kRunning;
+  state.invalidate_sorted_nodes();
+  if (state.concurrency_limit[node] <= 0)
+    state.concurrency_limit[node] = state.initial_concurrency_limit(node);
   // What comes up without a start time may have started this moment.
-  if (launched <= 0 && !(newly && m.running[n])) return;
-  const Seconds counted = launched > 0 ? launched : now;
-  m.stamped_start[n] = stamped > 0 ? std::min(stamped, counted) : counted;
-  m.started(n, counted);
+  if (started_at <= 0 && !(newly_listed && state.running[node])) return;
+  const Seconds start = started_at > 0 ? started_at : now;
+  state.node_reported_start[node] = reported_start > 0 ? std::min(reported_start, start) : start;
+  state.record_start(node, start);
 }
 
 void Director::list_ends(Seconds now) {
-  State& m = state_->at(now);
-  const bool whole = m.scope == ListCompleteness::kFull || m.scope == ListCompleteness::kCached;
-  for (int n = 0; n < m.count(); ++n)
-    if (whole && !m.fresh[n]) m.listed[n] = m.running[n] = false;  // rule 3: missing from a full list is gone
-  m.sort_out_kinds();
+  State& state = state_->advance_to(now);
+  const bool whole =
+      state.completeness == ListCompleteness::kFull || state.completeness == ListCompleteness::kCached;
+  for (int node = 0; node < state.count(); ++node)
+    if (whole && !state.in_current_list[node])
+      state.listed[node] = state.running[node] = false;  // rule 3: missing from a full list is gone
+  state.invalidate_sorted_nodes();
 }
 
 void Director::request_arrived(Seconds now, const RequestId& id, RequestClassIndex request_class, TenantIndex,
                                ObjectId object, PartNumber part, GroupId group, Seconds deadline,
                                double size_kb, bool, bool is_write) {
-  State& m = state_->at(now);
-  m.calm_origin();
-  Request p;
-  p.id = id,
-  p.request_class = std::clamp(request_class.value, 0, static_cast<int>(m.request_classes.size()) - 1);
-  p.object = object.value, p.unit = mix(object.value) ^ mix(~static_cast<std::uint64_t>(part.value));
-  p.group = group.value, p.arrived = now, p.deadline = deadline, p.size_kb = size_kb, p.write = is_write;
-  m.cut_deadline(p);
-  if (m.flow > 0 && size_kb > 0) m.request_classes[p.request_class].send.add(now, size_kb / m.flow, 1);
-  if (!m.is_write(p)) {
-    Unit& unit = m.units[p.unit];
-    p.known = unit.at > kLongAgo, p.hot = now - unit.at <= kHotSpan;  // one request in the span is no crowd
-    unit.bytes = unit.bytes * std::exp((unit.at - now) / kHotSpan) + size_kb;
-    unit.at = now, p.hot = p.hot && m.is_hot(p, unit.bytes);
-  }
-  m.all_sends.add(now, m.send_time(p), 1);
+  State& state = state_->advance_to(now);
+  state.recover_origin_fraction();
+  Request request;
+  request.id = id, request.request_class =
+                       std::clamp(request_class.value, 0, static_cast<int>(state.request_classes.size()) - 1);
+  request.object = object.value,
+  request.part_key = mix(object.value) ^ mix(~static_cast<std::uint64_t>(part.value));
+  request.group = group.value, request.arrived_at = now, request.deadline = deadline,
+  request.size_kb = size_kb, request.write = is_write;
+  state.cap_deadline(request);
+  if (state.transfer_kb_per_s > 0 && size_kb > 0)
+    state.request_classes[request.request_class].send_times.add(now, size_kb / state.transfer_kb_per_s, 1);
+  if (!state.is_write(request)) {
+    PartUsage& usage = state.part_usage[request.part_key];
+    request.requested_before = usage.last_request_at > kDistantPast,
+    request.hot = now - usage.last_request_at <= kHotObjectSpan;  // one request in the span is no crowd
+    usage.recent_kb = usage.recent_kb * std::exp((usage.last_request_at - now) / kHotObjectSpan) + size_kb;
+    usage.last_request_at = now, request.hot = request.hot && state.is_hot(request, usage.recent_kb);
+  }
+  state.all_send_times.add(now, state.send_time(request), 1);
   // By object and time, so that neither a client's repeat nor another director draws anew.
-  const double draw = unit_draw(mix(object.value) + static_cast<std::uint64_t>(now / kRemember));
-  p.lot = std::min(1.0, draw / m.extra(p));
-  m.requests.insert_or_assign(id, std::move(p));
-  m.touched.push_back(id);
-  m.go_through_rules();
+  const double draw = hash_to_unit_interval(mix(object.value) + static_cast<std::uint64_t>(now / kRetention));
+  request.admission_draw = std::min(1.0, draw / state.size_factor(request));
+  state.requests.insert_or_assign(id, std::move(request));
+  state.touched.push_back(id);
+  state.apply_rules();
 }
 
 void Director::client_disconnected(Seconds now, const RequestId& id) {
-  State& m = state_->at(now);
-  if (!m.held(id)) return;
-  m.held(id)->over = true;
-  m.touched.push_back(id);
-  m.go_through_rules();
+  State& state = state_->advance_to(now);
+  if (!state.find_request(id)) return;
+  state.find_request(id)->finished = true;
+  state.touched.push_back(id);
+  state.apply_rules();
 }
 
 void Director::cap_deadlines(Seconds now, Seconds at) {
-  State& m = state_->at(now);
-  m.deadline_cap = at;
-  for (auto& [id, request] : m.requests) m.cut_deadline(request);
-  m.actions.set_timer(at, {"deadlines-end"});
+  State& state = state_->advance_to(now);
+  state.deadline_cap = at;
+  for (auto& [id, request] : state.requests) state.cap_deadline(request);
+  state.actions.set_timer(at, {"deadlines-end"});
 }
 
 void Director::attempt_started(Seconds now, const RequestId& id, AttemptNumber) {
-  if (Request* p = state_->at(now).held(id)) p->bound = p->may_have_run = true;
+  if (Request* request = state_->advance_to(now).find_request(id))
+    request->answer_started = request->may_have_run = true;
 }
 
 void Director::attempt_ended(Seconds now, const RequestId& id, AttemptNumber number, const NodeId& node,
-                             Result result, AnswerDetail note, Seconds waited, Seconds spent,
+                             Result result, AnswerDetail detail, Seconds source_wait, Seconds elapsed,
                              const LoadReport& report, bool request_over) {
-  State& m = state_->at(now);
-  m.hear(node, report);
-  if (!m.held(id)) return;
-  Request& p = *m.held(id);
-  p.over = p.over || request_over;
-  const auto place = static_cast<std::size_t>(number.value);
-  if (number.value >= 0 && place < p.offs.size() && p.offs[place].out) {
-    Attempt& off = p.offs[place];
-    off.out = false;
-    m.work_out[off.node] -= m.send_time(p);
-    m.out_here[off.node] -= off.in_room, --m.out_from[off.source];
+  State& state = state_->advance_to(now);
+  state.record_load_report(node, report);
+  if (!state.find_request(id)) return;
+  Request& request = *state.find_request(id);
+  request.finished = request.finished || request_over;
+  const auto attempt_index = static_cast<std::size_t>(number.value);
+  if (number.value >= 0 && attempt_index < request.attempts.size() &&
+      request.attempts[attempt_index].in_flight) {
+    Attempt& attempt = request.attempts[attempt_index];
+    attempt.in_flight = false;
+    state.work_out[attempt.node] -= state.send_time(request);
+    state.attempts_at[attempt.node] -= attempt.occupies_node, --state.attempts_from[attempt.source];
     const bool never_ran = result == Result::kRejected || result == Result::kUnreachable ||
                            result == Result::kNotSent || result == Result::kAbsent ||
                            result == Result::kLocalFailure;
-    p.may_have_run = p.may_have_run || !never_ran;
-    m.learn(p, off, result, note, waited, spent);
+    request.may_have_run = request.may_have_run || !never_ran;
+    state.record_outcome(request, attempt, result, detail, source_wait, elapsed);
   }
-  m.touched.push_back(id);
-  m.go_through_rules();
+  state.touched.push_back(id);
+  state.apply_rules();
 }
 
 void Director::probe_ended(Seconds now, const NodeId& node, Result, const LoadReport& report) {
-  state_->at(now).hear(node, report);
+  state_->advance_to(now).record_load_report(node, report);
 }
 
 // The moment of a purge is kept, not its age: bounds are taken from it when a request is sent.
 void Director::object_purged(Seconds now, ObjectId object, Seconds age) {
-  state_->at(now).invalidations.object_purged(now, object, age);
+  state_->advance_to(now).invalidations.object_purged(now, object, age);
 }
 void Director::group_purged(Seconds now, GroupId group, Seconds age) {
-  state_->at(now).invalidations.group_purged(now, group, age);
+  state_->advance_to(now).invalidations.group_purged(now, group, age);
 }
 
 void Director::timer_fired(Seconds now, const TimerToken& token) {
-  State& m = state_->at(now);
-  const std::string& words = token.value;
-  if (words == "sweep") m.sweep();
-  if (words == "list") m.actions.watch_list();
-  if (words == "deadlines-end") m.end_deadlines();
-  if (words.starts_with("resume:")) {
+  State& state = state_->advance_to(now);
+  const std::string& token_text = token.value;
+  if (token_text == "sweep") state.sweep();
+  if (token_text == "list") state.actions.watch_list();
+  if (token_text == "deadlines-end") state.reconsider_all();
+  if (token_text.starts_with("resume:")) {
     // Guards against a clock that rounds: a wake may come a hair before the time that was asked for, and no
     // second one would follow; the request would be held until its hard stop.
-    if (Request* p = m.held({words.substr(7)})) p->resume_at = kLongAgo;
-    m.touched.push_back({words.substr(7)});
+    if (Request* request = state.find_request({token_text.substr(7)})) request->resume_at = kDistantPast;
+    state.touched.push_back({token_text.substr(7)});
   }
-  if (words.starts_with("late:")) {
-    const auto colon = words.find(':', 5);
+  if (token_text.starts_with("late:")) {
+    const auto colon = token_text.find(':', 5);
     if (colon != std::string::npos)
-      m.late({words.substr(colon + 1)}, static_cast<std::size_t>(std::atoi(words.c_str() + 5)));
+      state.handle_late_attempt({token_text.substr(colon + 1)},
+                                static_cast<std::size_t>(std::atoi(token_text.c_str() + 5)));
   }
-  m.go_through_rules();
+  state.apply_rules();
 }
 
 }  // namespace hareramp
--- a/src/policy/cache_group.cpp
+++ b/src/policy/cache_group.cpp
@@ -8,27 +8,27 @@
 namespace {
 
 // A fleet of the usual size has 200 cache nodes at most; no zone of one is ever divided.
-constexpr int kLargestUndivided = 200;
+constexpr int kMaxUndividedCaches = 200;
 // Caches of a group at least. 200 caches in three to five zones make zones of 40 to 67; 16 times those fall
 // into 16 groups of that same size, also with a tenth of the caches away.
-constexpr int kSmallestGroup = 36;
-constexpr int kMostGroups = 64;  // 3,200 caches in one zone, the most there are, make groups of 50
+constexpr int kMinGroupSize = 36;
+constexpr int kMaxGroups = 64;  // 3,200 caches in one zone, the most there are, make groups of 50
 // x the director's demand: capacity that a group must have for it. The hash spreads work unevenly, and a part
 // of the caches may be away.
 constexpr double kHeadroom = 4.0;
-constexpr double kStay = 0.75;     // x: bounds for a division that stands already
-constexpr double kDeviations = 3;  // standard deviations: one group in some hundred has more directors
+constexpr double kHysteresis = 0.75;  // x: bounds for a division that stands already
+constexpr double kDeviations = 3;     // standard deviations: one group in some hundred has more directors
 
 }  // namespace
 
-int choose_group_count(const ZoneFigures& zone, int current) {
+int choose_group_count(const ZoneStatistics& zone, int current) {
   int best = 1;
-  for (int groups = 2; groups <= kMostGroups; groups *= 2) {
-    const double slack = groups <= current ? kStay : 1.0;
+  for (int groups = 2; groups <= kMaxGroups; groups *= 2) {
+    const double slack = groups <= current ? kHysteresis : 1.0;
     const bool many_caches =
-        zone.caches > kLargestUndivided * slack && zone.caches >= kSmallestGroup * slack * groups;
+        zone.caches > kMaxUndividedCaches * slack && zone.caches >= kMinGroupSize * slack * groups;
     // So few requests leave fewer connections open than a group has caches.
-    const bool many_requests = !zone.traffic_is_known || zone.requests_in_idle > kSmallestGroup * slack;
+    const bool many_requests = !zone.traffic_is_known || zone.requests_per_idle_time > kMinGroupSize * slack;
     // With fewer directors than groups, the caches of some groups are used by nobody.
     const double available = zone.capacity / std::max<double>(groups, zone.directors);
     const bool enough_capacity = groups <= zone.directors || available >= kHeadroom * slack * zone.demand;
--- a/src/policy/cache_group.hpp
+++ b/src/policy/cache_group.hpp
@@ -15,19 +15,19 @@
 namespace hareramp {
 
 // What a director knows of its own zone and of its own traffic.
-struct ZoneFigures {
-  int caches = 0;                 // listed in the zone
-  double capacity = 0;            // of all of them together, in transfers at full pace
-  double directors = 1;           // that share them
-  double demand = 0;              // transfers of this director in progress, in the mean
-  bool traffic_is_known = false;  // the next figure is measured
-  double requests_in_idle = 0;    // of this director, in the time that a connection may rest
+struct ZoneStatistics {
+  int caches = 0;                     // listed in the zone
+  double capacity = 0;                // of all of them together, in transfers at full pace
+  double directors = 1;               // that share them
+  double demand = 0;                  // transfers of this director in progress, in the mean
+  bool traffic_is_known = false;      // the next figure is measured
+  double requests_per_idle_time = 0;  // of this director, in the time that a connection may rest
 };
 
 // Into how many groups the zone's caches fall for this director: 1 uses all of them, as in every fleet of the
 // usual size. current: the answer before; it is kept near the bounds, so that a list or traffic that varies a
 // little does not move the objects to and fro.
-int choose_group_count(const ZoneFigures& zone, int current);
+int choose_group_count(const ZoneStatistics& zone, int current);
 
 // Whether a cache is in the director's group. Both hashes are of all 64 bits.
 bool in_group(std::uint64_t cache_hash, std::uint64_t director_hash, int groups);
--- a/tests/policy/cache_group_test.cpp
+++ b/tests/policy/cache_group_test.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-ZoneFigures busy_zone(int caches) {
-  ZoneFigures zone;
+ZoneStatistics busy_zone(int caches) {
+  ZoneStatistics zone;
   zone.caches = caches;
   zone.capacity = 8.0 * caches;
   zone.directors = 100;
   zone.demand = 0.5;
   zone.traffic_is_known = true;
-  zone.requests_in_idle = 750;
+  zone.requests_per_idle_time = 750;
   return zone;
 }
 
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("a zone is divided no further than its directors' work allows") {
-  ZoneFigures zone = busy_zone(640);
+  ZoneStatistics zone = busy_zone(640);
   CHECK(choose_group_count(zone, 1) == 16);
   zone.directors = 1;  // 5,120 transfers' capacity for one director
   zone.demand = 80;
@@ -82,8 +82,8 @@
 }
 
 TEST_CASE("a director with few requests uses the whole zone, once that is known") {
-  ZoneFigures zone = busy_zone(640);
-  zone.requests_in_idle = 20;
+  ZoneStatistics zone = busy_zone(640);
+  zone.requests_per_idle_time = 20;
   CHECK(choose_group_count(zone, 16) == 1);
   zone.traffic_is_known = false;
   CHECK(choose_group_count(zone, 1) == 16);
