--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,17 +1,22 @@
-// The decisions of hareramp, all of them. A protocol adapter calls the methods of Director (policy.hpp); what
-// the module wants done goes out through Actions. After every input the ordered rules of kRules (below) are
-// gone through for each request that the input touched, from the top, until none fires.
+// The decision module of hareramp. A protocol adapter calls the methods of Director (policy.hpp); the module
+// requests effects through Actions. After every input, the ordered rules in kRules (below) are evaluated for
+// each request that the input concerns: the first rule whose condition holds is applied, and evaluation
+// starts again from the top, until no condition holds.
 //
-// The design (docs/design.md): home cache by hash, hot objects spread over the top two and fill from each
-// other, all other fills from a parent by a hash over all listed parents, each kept by the three-band rule.
-// Beside it stand:
-//   1. health     nodes that stay silent, break or can't be reached are left out and come back by trials
-//   2. patience   a look before a fill; a further attempt while it can still help, none without time for it
-//   3. budgets    what a node that has just started may be sent over any span (caches, parents, sources)
-//   4. purges     the oldest copy that will do, never older than the last purge told; stale copies at need
-//   5. load       rooms of nodes, parts of the requests that may fill and may reach the origin, few retries;
-//                 a request nobody can take is given its final answer at once
-//   6. ranks      what was asked for once is dropped before what was asked for again
+// The design (docs/design.md): an object has a home cache by hash. Hot objects are spread over the two top
+// caches of the hash, which fill from each other. All other fills come from a parent, chosen by a hash over
+// all listed parents. Each fill source is kept or excluded by the three-band rule. In addition:
+//   1. health      nodes that are silent, break connections or can't be reached are ejected, and reinstated
+//                  by trial requests
+//   2. lateness    a cache-only lookup before a fill; a further attempt while it can still help, none
+//                  without time left for it
+//   3. budgets     bounds on the work sent to a node in slow start over any span (caches, parents, sources)
+//   4. purges      a bound on the age of copies, never older than the last known purge; stale copies when
+//                  all else has failed
+//   5. load        concurrency limits of nodes, limits on the fraction of requests that may start a fill or
+//                  reach the origin, a retry budget; a request that no node can take gets its final answer
+//                  at once
+//   6. ranks       copies requested once are dropped before copies requested repeatedly
 #include "policy.hpp"
 
 #include <algorithm>
@@ -29,84 +34,126 @@
 namespace hareramp {
 namespace {
 
-// Constants. The design's own first, as the design page has them.
-constexpr Seconds kAverageSpan = 10.0;       // s: span over which rates and shares are averaged (design)
-constexpr Seconds kHotObjectSpan = 2.0;      // s: span over which an object's bytes are counted (design)
-constexpr double kHotObjectShare = 0.25;     // of the home cache's rate: above it an object spreads (design)
-constexpr double kLowThresholdFactor = 0.1;  // of the high threshold: the low one (design)
-constexpr double kMinHitShare = 0.06;        // hit share that keeps a member between the thresholds (design)
-constexpr Seconds kMaxTrialInterval = 5.0;   // s: between trial fills of a dropped member (design)
-constexpr Seconds kMinMeasurableTransfer = 0.1;  // s of sending: shorter fills tell of delays, not of a rate
-constexpr Seconds kFirstTrialDelay = 0.5;  // s: first trial of a node left out; doubles up to kTrialEvery
-constexpr int kFailuresToEject = 2;        // silent attempts in a row: one may be chance
-constexpr double kFalseEjectionChance =
-    0.01;  // more in a row where so many would still be commoner than this
-constexpr Seconds kUnnoticedRestartAfter = 1.0;  // s: after a longer absence a node may have restarted unseen
-constexpr Seconds kAttemptOverhead = 0.05;  // s: an attempt's fixed part when times are put in proportion
-constexpr double kLateFactor = 1.5;         // x expected time: a member on trial gets no more than this
-constexpr double kBudgetFraction = 0.7;     // of the told limit: true capacity lies below the listed weight
-constexpr Seconds kMinRestartTime = 0.2;    // s: no director hears of a node, ends and is back sooner
-constexpr double kMinBudgetShare = 0.01;    // of a call: a smaller share would put off trials for ever
-constexpr double kDefaultCapacity = 2.0;    // transfers: a link's size where no weight tells it, judged low
-constexpr Seconds kDefaultSendTime = 0.3;   // s: sending time before any size or answer has told one
-constexpr double kInitialConcurrencyFactor =
-    2.0;                                 // transfers for each that a link bears at full pace: a room's start
-constexpr double kLinkFullReport = 2.5;  // transfers for each that fits a location's link at a fill's pace
-constexpr double kOverloadSlackFraction =
-    0.6;  // of the contract time's slack over bare sending: more shows a crowd
-constexpr double kConcurrencyDecrease = 0.9;  // x: a node's room after a request that took longer than that
-constexpr double kConcurrencyIncrease =
-    0.1;  // transfers: more room after one in good time, at a node near its limit
-constexpr double kInitialConcurrencyIncrease =
-    0.5;  // transfers: the same until its first crowd: nothing may tell of a link
-constexpr double kNearLimitFraction = 0.7;  // of its room in use: below it a good answer proves nothing
-constexpr double kMaxSizeFactor =
-    2.5;  // x the mean sending time, or a part of it: beyond, size counts no more
-constexpr double kFullLinkSlowdown =
-    2.0;  // x a hit's time for its bytes: a fill that takes more shows a full link
-constexpr int kFillsPerLinkEstimate = 2;  // fills that one judgement of the link rests on
-constexpr double kMaxLinkDecrease =
-    0.5;  // x: the most that one report of a full link takes off the part of requests
-constexpr double kLinkIncrease =
-    0.2;  // of the requests: that many more may fill at a report of an empty link
-constexpr double kMinLinkFraction =
-    0.05;  // of the requests: fewer would leave the caches behind it cold for good
-constexpr Seconds kMinReportInterval = 0.5;  // s: reports closer than this are taken for the same one
-constexpr Seconds kLookupRetryDelay = 0.15;  // s: before looking again for a copy that is under way
-constexpr int kMaxLookups = 3;  // looks for a request: the attempts left must do for its own fill
-constexpr double kOriginFailureDecrease =
-    0.7;  // x: the part of requests that may reach the origin, after a failure there
-constexpr double kOriginLateDecrease =
-    0.5;  // x: the same for what is late there: it has queued a while unseen
-constexpr double kOriginIncreasePerSecond =
-    0.2;  // of the requests a second: more of them as its answers come in good time
-constexpr Seconds kOriginRecoveryInterval =
-    2.0;  // s without a failure there: after each, twice as many may reach it
-constexpr double kOriginSlowFactor = 5.0;  // x the usual wait for it: more shows a crowd before it refuses
-constexpr double kMaxOriginSlowDecrease = 0.3;  // x: the most that one slow answer cuts
-constexpr Seconds kMinOriginWait = 0.02;        // s: waits under this tell of the way there, not of a crowd
-constexpr double kMinOriginFraction = 0.05;  // of the requests: fewer would not tell when the origin is back
-constexpr double kRetryBudgetPerFill =
-    0.2;                               // further fills that one good fill earns: what retries may add at most
-constexpr double kMaxRetryBudget = 5;  // further fills saved up: enough for the first moments of a failure
-constexpr Seconds kWriteRetryDelay =
-    0.1;                                  // s: about so long before a write turned away asks the origin again
-constexpr Seconds kMaxRetryAfter = 1.0;   // s: advice to a bounced client, drawn from half of it upwards
-constexpr Seconds kListRetryDelay = 1.0;  // s: before following the list anew after a failure
-constexpr Seconds kRetention = 30.0;      // s: how long an object counts as asked for before
-constexpr Seconds kSweepInterval = 5.0;   // s: between sweeps of what is no longer needed
-constexpr Seconds kMinCopyAge = 1e-5;     // s: an age bound must never round to 0, which means any age
-constexpr int kMaxCachesPerRequest =
-    2;  // caches by the hash that a request may go to when others are crowded
-
-constexpr Seconds kLocalFailureDelay = 0.02;  // s: after a failure of our own side; doubles each time
-constexpr int kMaxLocalFailures = 8;          // of one request: by then its pauses have come to 2.5 s
+// Constants. The first six are those of the design (docs/design.md).
+
+// Time constant of the averages of rates and shares, in seconds.
+constexpr Seconds kAverageSpan = 10.0;
+// Seconds over which the bytes requested of an object are counted.
+constexpr Seconds kHotObjectSpan = 2.0;
+// Fraction of its home cache's serving rate: an object requested at a higher rate is spread over two caches.
+constexpr double kHotObjectShare = 0.25;
+// The low threshold of the three bands, as a fraction of the high one.
+constexpr double kLowThresholdFactor = 0.1;
+// Between the thresholds, a fill source is kept while at least this share of its fills are hits there.
+constexpr double kMinHitShare = 0.06;
+// Seconds between trial fills of a source that the bands exclude; also the longest backoff of an ejected
+// node.
+constexpr Seconds kMaxTrialInterval = 5.0;
+
+// Seconds of sending: shorter fills measure delays, not a transfer rate.
+constexpr Seconds kMinMeasurableTransfer = 0.1;
+// Delay of the first trial of an ejected node, in seconds; doubles up to kMaxTrialInterval.
+constexpr Seconds kFirstTrialDelay = 0.5;
+// Attempts in a row without an answer after which a node is ejected: a single one may be chance.
+constexpr int kFailuresToEject = 2;
+// More failures in a row are required where so many happen by chance more often than this.
+constexpr double kFalseEjectionChance = 0.01;
+// A node that was ejected for longer may have restarted unnoticed, in seconds.
+constexpr Seconds kUnnoticedRestartAfter = 1.0;
+// Fixed part of an attempt's duration, in seconds, added to the sending time when durations are compared.
+constexpr Seconds kAttemptOverhead = 0.05;
+// Multiple of the expected duration after which a trial attempt counts as late.
+constexpr double kLateFactor = 1.5;
+// Fraction of the configured limit that is used: the true capacity lies below the listed weight.
+constexpr double kBudgetFraction = 0.7;
+// Shortest time, in seconds, in which a director can learn of a node, end and be running again.
+constexpr Seconds kMinRestartTime = 0.2;
+// Fraction of one attempt's work: a smaller budget share would postpone trials without end.
+constexpr double kMinBudgetShare = 0.01;
+// Capacity of a link in transfers where no weight is known; deliberately low.
+constexpr double kDefaultCapacity = 2.0;
+// Sending time in seconds that is assumed before any size or answer is known.
+constexpr Seconds kDefaultSendTime = 0.3;
+// The initial limit, in transfers for each transfer that the link carries at the full rate.
+constexpr double kInitialConcurrencyFactor = 2.0;
+// Transfers in progress for each that fits the link at a fill's rate: at this reported value it is full.
+constexpr double kLinkFullReport = 2.5;
+// Fraction of the latency target's slack over the bare sending time: a request that takes more of it shows
+// overload.
+constexpr double kOverloadSlackFraction = 0.6;
+// Factor on a node's limit after a request that shows overload.
+constexpr double kConcurrencyDecrease = 0.9;
+// Transfers added to the limit after a request in good time, at a node near its limit.
+constexpr double kConcurrencyIncrease = 0.1;
+// The same until the node's first overload: its link's capacity may not be known at all.
+constexpr double kInitialConcurrencyIncrease = 0.5;
+// Fraction of the limit in use: below it an answer in good time proves nothing.
+constexpr double kNearLimitFraction = 0.7;
+// Bound on the ratio of the mean sending time to a request's own, and on its inverse.
+constexpr double kMaxSizeFactor = 2.5;
+// Multiple of a hit's time for the same bytes: fills that take longer show a full link.
+constexpr double kFullLinkSlowdown = 2.0;
+// Fills behind each estimate of the link.
+constexpr int kFillsPerLinkEstimate = 2;
+// Smallest factor that one report of a full link applies to the fraction.
+constexpr double kMaxLinkDecrease = 0.5;
+// Fraction of the requests added by a report of an empty link.
+constexpr double kLinkIncrease = 0.2;
+// Smallest fraction: fewer requests would leave the caches behind the link cold for good.
+constexpr double kMinLinkFraction = 0.05;
+// Reports closer together than this many seconds count as one.
+constexpr Seconds kMinReportInterval = 0.5;
+// Seconds before the next lookup of a copy that is being filled.
+constexpr Seconds kLookupRetryDelay = 0.15;
+// Lookups of a request: the remaining attempts have to suffice for a fill of its own.
+constexpr int kMaxLookups = 3;
+// Factor on the fraction after a failure at the origin.
+constexpr double kOriginFailureDecrease = 0.7;
+// The same for a late attempt: the request has already queued there for a while, unnoticed.
+constexpr double kOriginLateDecrease = 0.5;
+// Fraction of the requests added per second while answers of the origin arrive in good time.
+constexpr double kOriginIncreasePerSecond = 0.2;
+// Seconds without a failure at the origin, after each of which twice as many requests may reach it.
+constexpr Seconds kOriginRecoveryInterval = 2.0;
+// Multiple of the usual wait for the origin: a longer one shows a queue before the origin rejects requests.
+constexpr double kOriginSlowFactor = 5.0;
+// Smallest factor that one slow answer applies to the fraction.
+constexpr double kMaxOriginSlowDecrease = 0.3;
+// Seconds: shorter waits are due to the network path, not to a queue at the origin.
+constexpr Seconds kMinOriginWait = 0.02;
+// Smallest fraction: fewer requests would not show when the origin has recovered.
+constexpr double kMinOriginFraction = 0.05;
+// Repeated fills earned by each fill in good time: the most that retries add to the load.
+constexpr double kRetryBudgetPerFill = 0.2;
+// Repeated fills that can be saved up: enough for the first moments of a failure.
+constexpr double kMaxRetryBudget = 5;
+// Mean delay in seconds before a write that was rejected is sent to the origin again.
+constexpr Seconds kWriteRetryDelay = 0.1;
+// Longest Retry-After in seconds; each client's is drawn between half of the maximum and all of it.
+constexpr Seconds kMaxRetryAfter = 1.0;
+
+// Seconds before the node list is followed again after a failure.
+constexpr Seconds kListRetryDelay = 1.0;
+// Seconds for which an object counts as requested before, and a node that is gone is remembered.
+constexpr Seconds kRetention = 30.0;
+// Seconds between sweeps of state that is no longer needed.
+constexpr Seconds kSweepInterval = 5.0;
+// Smallest age bound in seconds: it must never round to 0, which means any age.
+constexpr Seconds kMinCopyAge = 1e-5;
+// Caches, in the order of the hash, that a request may go to when others have reached their limit.
+constexpr int kMaxCachesPerRequest = 2;
+
+// Delay in seconds after a failure of our own side; doubles each time.
+constexpr Seconds kLocalFailureDelay = 0.02;
+// Local failures of one request: by then its delays add up to 2.5 s.
+constexpr int kMaxLocalFailures = 8;
 
 constexpr int kNoNode = -1;
 constexpr Seconds kDistantPast = -1e9;
 constexpr Seconds kDistantFuture = 1e18;
 
-// A mean whose past fades with kSpan, so that the weight is what was heard lately.
+// A weighted mean. Older values decay exponentially with kAverageSpan, so that `weight` reflects recent
+// samples.
 struct Average {
   double sum = 0, weight = 0;
   Seconds updated_at = 0;
@@ -133,18 +180,19 @@
   return value ^ (value >> 31);
 }
 
-// A number between 0 and 1 that looks drawn, but is the same wherever the key is.
+// A number between 0 and 1 that is spread like a random one, but is the same everywhere for the same key.
 double hash_to_unit_interval(std::uint64_t key) {
   return (static_cast<double>(mix(key) >> 11) + 0.5) / 9007199254740992.0;
 }
 
-// Our own hash of a node's id (FNV-1a): the same at every director and in every build.
+// An own hash of a node's id (FNV-1a), because it has to be the same in every director and every build.
 std::uint64_t hash_text(const std::string& text) {
   std::uint64_t hash = 0xcbf29ce484222325u;
   for (const unsigned char c : text) hash = (hash ^ c) * 0x100000001b3u;
   return mix(hash);
 }
 
+// What a second run of a request would do.
 enum class Effect { kRetryable, kDeduplicated, kNotRetryable };
 
 struct RequestClass {
@@ -156,11 +204,14 @@
   Average send_times;
 };
 
+// One attempt of a request. `late_after` counts from `sent_at`; `occupies_node` while it counts towards the
+// concurrency limit of its node.
 struct Attempt {
   int node = kNoNode, source = kNoNode;
   Seconds sent_at = 0, late_after = 0;
   bool in_flight = true, cancelled = false, is_trial = false, occupies_node = true, marked_late = false;
-  double source_charge = 0, trial_charge = 0;  // trial_charge: at a node that may have restarted
+  // trial_charge: to the budget of a node that may have restarted
+  double source_charge = 0, trial_charge = 0;
 };
 
 struct Request {
@@ -169,15 +220,15 @@
   std::uint64_t object = 0, part_key = 0;
   std::int64_t group = 0;
   Seconds arrived_at = 0, deadline = 0, resume_at = kDistantPast, first_sent_at = 0;
-  double size_kb = 0, admission_draw = 0;
+  double size_kb = 0, admission_draw = 0;  // compared with link_fraction and origin_fraction
   bool write = false, hot = false, requested_before = false, origin_excluded = false, fill_failed = false,
        fill_in_progress = false;
-  bool finished = false, answer_started = false, may_have_run = false, overdue = false, accepts_stale = false;
-  bool deadline_capped = false;  // its deadline is the director's end
+  bool closed = false, answer_started = false, may_have_run = false, overdue = false, accepts_stale = false;
+  bool deadline_capped = false;  // the deadline was shortened to the director's own end
   int first_node = kNoNode, lookups = 0, local_failures = 0;
   std::vector<Attempt> attempts;
   std::vector<int> excluded_nodes, excluded_sources;
-  mutable std::vector<int> caches, parents;  // by the hash, as the list stood at that turn of it
+  mutable std::vector<int> caches, parents;  // in the order of the hash, for the list version below
   mutable std::uint64_t cache_order_version = 0, parent_order_version = 0;
   int in_flight_count() const {
     return static_cast<int>(std::count_if(attempts.begin(), attempts.end(),
@@ -185,23 +236,24 @@
   }
 };
 
-struct PartUsage {  // what is remembered of an object's part
+// Recent use of one part of an object.
+struct PartUsage {
   double recent_kb = 0;
   Seconds last_request_at = kDistantPast;
 };
 
-// Places of nodes by what they are to this director.
+// Indexes of nodes by their role for this director.
 struct SortedNodes {
   std::vector<int> parents;     // of all zones
-  std::vector<int> own_caches;  // of the own zone, and of the director's group where it uses one
+  std::vector<int> own_caches;  // in this director's zone, and in its cache group where the zone is divided
   int origin = kNoNode;
-  int cache_groups = 1;  // into which the zone's caches fall (policy/cache_group.hpp)
+  int cache_groups = 1;  // number of groups into which the zone's caches are divided (policy/cache_group.hpp)
 };
 
-// How many requests this director gets, looked at now and then.
+// The rate of this director's requests, sampled periodically.
 struct OwnTraffic {
-  Seconds known_since = kDistantPast;     // of the first look that saw any
-  double max_requests_per_idle_time = 0;  // in the time that a connection may rest, while it was busiest
+  Seconds known_since = kDistantPast;     // time of the first sample that saw requests
+  double max_requests_per_idle_time = 0;  // within the idle time-out of a connection, at the busiest sample
   bool is_known(Seconds now) const { return known_since > kDistantPast && now - known_since >= kAverageSpan; }
   void sample(Seconds now, const Average& send_times, Seconds connection_idle) {
     if (!send_times.has_data()) return;
@@ -276,7 +328,7 @@
     return found.empty() ? fallback : found;
   }
 
-  // Read once: a look-up by name for each question of each request was most of what a request cost.
+  // Cached at the start: looking up settings by name for each decision was most of the cost of a request.
   void read_permissions() {
     for (const auto& [name, value] : std::initializer_list<std::pair<const char*, bool*>>{
              {"FamilyInfo.CanJoin", &can_join},
@@ -314,12 +366,12 @@
   bool is_cache_kind(int node) const { return !is_parent(node) && !is_origin(node); }
   bool is_cache(int node) const { return is_cache_kind(node) && zone[node] == own_zone; }
   int origin() const { return sorted_nodes().origin; }
-  // Whenever a node or its kind or place changes: nobody goes through the whole fleet for a request.
+  // Called whenever a node, its kind or its location changes, so that no request has to scan the whole fleet.
   void invalidate_sorted_nodes() {
     ++list_version;
     nodes_are_sorted = false;
   }
-  // Sorted when first asked for, and not with each entry: a list of thousands of nodes comes entry by entry.
+  // Sorts lazily, not at each entry: a list of thousands of nodes arrives entry by entry.
   const SortedNodes& sorted_nodes() const {
     if (!std::exchange(nodes_are_sorted, true)) sort_nodes();
     return sorted;
@@ -350,8 +402,8 @@
     return statistics;
   }
   // Guards against connections to hundreds of caches in fleets of many times the usual size
-  // (policy/cache_group.hpp). It hurts where few directors have a zone's traffic: objects are held once a
-  // group. The hash over the parents stays whole.
+  // (policy/cache_group.hpp). The cost, where few directors carry a zone's traffic: each object is stored
+  // once per group. The hash over the parents is not divided.
   void keep_own_group() const {
     std::erase_if(sorted.own_caches,
                   [&](int node) { return !in_group(node_hash[node], director_hash, sorted.cache_groups); });
@@ -361,7 +413,7 @@
   }
   bool is_ejected(int node) const { return ejected_since[node] > kDistantPast; }
 
-  // Arrays grow only while no place of a node that is long gone (sweep) can be had.
+  // Reuses the index of a node that was forgotten (sweep) before the arrays grow.
   int index_of(const NodeId& id) {
     const auto [found, added] = node_index.emplace(id.value, count());
     if (!added) return found->second;
@@ -373,7 +425,7 @@
     };
     clear(id, node_id), clear(hash_text(id.value), node_hash), clear(false, running, listed, in_current_list);
     clear(-1, zone, kind, cell), clear(0, consecutive_failures, attempts_at, attempts_from),
-        clear(0.0, trial_backoff, work_out, concurrency_limit);
+        clear(0.0, trial_backoff, work_in_flight, concurrency_limit);
     clear(Average(), fill_rate, hit_share, serve_rate, node_hit_slowdown),
         clear(decltype(budget_charges)::value_type(), budget_charges);
     clear(kDistantPast, started_at, assumed_start, node_reported_start, ejected_since, next_trial,
@@ -382,7 +434,7 @@
     return node;
   }
 
-  // Sizes that drift with load would move every home; there all count alike.
+  // Weights that vary with load would move the home of every object, so all nodes then count alike.
   double hash_weight(int node) const { return weights_vary ? 1 : std::max(weight[node], 1e-3); }
 
   std::vector<int> by_hash(std::uint64_t key, bool parents) const {
@@ -415,32 +467,34 @@
     return pool;
   }
 
+  // Whether the three-band rule keeps the node as a fill source.
   bool passes_bands(int node) const {
     const bool parent = is_parent(node);
     const Average peers = pooled_mean(fill_rate, parent);
     const Average upstream = parent ? origin_rate : pooled_mean(fill_rate, true);
-    // An unheard cache counts as average; with nothing to compare with, nobody is dropped.
+    // A node without measurements counts as average. With nothing to compare with, no node is excluded.
     if (!upstream.has_data() || !peers.has_data()) return true;
     const double high = upstream.mean(), low = kLowThresholdFactor * high;
     const double rate = fill_rate[node].has_data() ? fill_rate[node].mean() : peers.mean();
     if (rate < low) return false;
     if (rate > high) return true;
-    // Departure: a member that has just started holds little, and so do all after a purge of much. Its
-    // share then says nothing of its worth, so it counts as average, or nobody would ever come back.
-    const Average shares = pooled_mean(hit_share, parent);
+    // Deviation from the design: the hit share says nothing about a node that has just started, because it
+    // holds little, or about any node after a large purge. It then counts as average, since otherwise no node
+    // would ever be used again.
+    const Average peer_shares = pooled_mean(hit_share, parent);
     if (is_warming_up(node) || !hit_share[node].has_data() ||
-        (shares.has_data() && shares.mean() <= kMinHitShare))
+        (peer_shares.has_data() && peer_shares.mean() <= kMinHitShare))
       return true;
     return hit_share[node].mean() > kMinHitShare;
   }
 
-  // --- budgets: guards against pushing over what has just started ---
+  // --- budgets: guard against overloading a node that has just started ---
   Seconds warmup_time(int node) const { return is_parent(node) ? parent_warmup_time : cache_warmup_time; }
   bool is_warming_up(int node) const {
     return !is_origin(node) && now - started_at[node] < warmup_time(node);
   }
 
-  // In transfers at full pace, where the list tells it.
+  // In transfers at the full rate, where the list states it.
   double full_capacity(int node) const { return weights_unknown ? kDefaultCapacity : weight[node]; }
   double present_capacity(int node) const {
     const double full = full_capacity(node);
@@ -452,8 +506,9 @@
     return is_warming_up(node) ? present_capacity(node) / full_capacity(node) : 1;
   }
 
-  // A node that is left out for so long may have restarted unseen, and an answer to a trial takes it for just
-  // started: what it is sent until then counts, against the capacity at a start.
+  // A node that was ejected for this long may have restarted unnoticed, and when it answers a trial it is
+  // treated as just started. Work sent to it until then is charged to its budget, at the capacity of a node
+  // that has just started.
   bool may_have_restarted(int node) const {
     return !is_origin(node) && is_ejected(node) && now - ejected_since[node] > kUnnoticedRestartAfter;
   }
@@ -462,16 +517,18 @@
     return full_capacity(node) * (is_parent(node) ? parent_start_fraction : cache_start_fraction);
   }
 
-  // What this director may send a node of that capacity over any span, in seconds of sending. All directors
-  // of a location share its caches, all directors together share the parents. Equal parts are safe without a
-  // word between them; it costs speed where one director has most of the traffic.
+  // The work, in seconds of sending, that this director may send to a node of that capacity within any span.
+  // All directors of a location share its caches, and all directors together share the parents. Equal shares
+  // are safe without coordination between directors. The cost: slower warm-up where one director has most of
+  // the traffic.
   double budget_share(int node, double capacity) const {
     const double limit = is_parent(node) ? parent_budget_multiple : cache_budget_multiple;
     return kBudgetFraction * limit * capacity * budget_span / directors_sharing(node);
   }
-  // Guards against a director that restarts, has forgotten what it sent, and sends its share again: the share
-  // counts as spent for a span after the director's own start. Only a node that the list tells to have
-  // started since then had nothing from it. It costs a new director that span at nodes in slow start.
+  // Guards against a director that restarts, has lost the record of what it sent, and sends its share a
+  // second time: the share counts as spent for one span after the director's own start. Only a node that
+  // started since then, according to the list, can't have received anything from it. The cost: for that span,
+  // a new director sends nothing to nodes in slow start.
   bool may_have_spent_share(int node) const {
     const bool start_is_listed = started_at[node] != assumed_start[node];
     const bool started_since =
@@ -485,7 +542,7 @@
     std::erase_if(budget_charges[node], [&](const auto& entry) { return entry.first <= now - budget_span; });
     for (const auto& entry : budget_charges[node]) used += entry.second;
     if (!may_have_restarted(node)) return used + work <= budget_share(node, present_capacity(node));
-    // Where a share is less than a call, the pauses between trials hold the budget (trial_pause).
+    // Where the share is less than one attempt, the pauses between trials enforce the budget (trial_pause).
     return used <= 0 || used + work <= budget_share(node, start_capacity(node));
   }
   double charge_budget(int node, double work) {
@@ -493,9 +550,10 @@
     budget_charges[node].emplace_back(now, work);
     return work;
   }
-  // Until the next trial of a node that is left out. Guards against trials of hundreds of directors that meet
-  // a node which has just started: where a share is less than a call, each has its trial so much less often.
-  // The first pause is drawn, since all may have left the node out at once.
+  // Seconds until the next trial of an ejected node. Guards against trials by hundreds of directors that
+  // reach a node which has just started: where the share is less than one attempt, each director makes its
+  // trial correspondingly less often. The first pause is random, since all directors may have ejected the
+  // node at the same moment.
   Seconds trial_pause(int node, bool first) {
     const double attempt_work = all_send_times.has_data() ? all_send_times.mean() : kDefaultSendTime;
     const double share = budget_share(node, start_capacity(node));
@@ -505,16 +563,18 @@
     return std::max(trial_backoff[node], fraction * pause);
   }
 
-  // --- load: guards against a crowd that makes everybody late ---
-  // How many of our transfers a node may hold at once, so that each ends well within its contract time. It
-  // starts from the listed weight and follows what is measured, whatever slows the node down.
+  // --- load: guards against overload, which makes every request late ---
+  // The concurrency limit of a node: how many transfers this director may have there at once, so that each
+  // ends well within its latency target. It starts from the listed weight and then follows the measurements,
+  // whatever the cause of a slowdown.
   double initial_concurrency_limit(int node) const {
     return std::max(1.0, kInitialConcurrencyFactor * full_capacity(node) / directors_sharing(node));
   }
   double directors_sharing(int node) const {
     return is_cache_kind(node) ? directors_per_cache : directors_in_total;
   }
-  // Requests earn alike, whatever their size: small ones find more room and draw better lots.
+  // Every answered request counts the same whatever its size, so small requests get a higher concurrency
+  // limit and a lower admission draw.
   double size_factor(const Request& request) {
     return std::clamp(all_send_times.mean() / send_time(request), 1 / kMaxSizeFactor, kMaxSizeFactor);
   }
@@ -526,23 +586,27 @@
     if (!overloaded && in_use >= kNearLimitFraction * concurrency_limit[node])
       concurrency_limit[node] +=
           limit_decreased_at[node] == kDistantPast ? kInitialConcurrencyIncrease : kConcurrencyIncrease;
-    if (!overloaded || sent_at <= limit_decreased_at[node])
-      return;  // it was out already when the room was last cut
+    // A request that was in flight at the last decrease shows nothing new.
+    if (!overloaded || sent_at <= limit_decreased_at[node]) return;
     concurrency_limit[node] = std::max(1.0, kConcurrencyDecrease * concurrency_limit[node]),
     limit_decreased_at[node] = now;
   }
 
   // --- health: guards against nodes that are silent, broken or cut off ---
-  // Guards against a slow spell taken for silence where a director hears of a node only now and then: strikes
-  // that an answer took back show how common they are by chance.
+  // Guards against taking a slow phase for silence where a director rarely gets an answer from a node:
+  // failures that a later answer refuted show how often such runs happen by chance, and the threshold rises
+  // accordingly.
   double failures_to_eject(int node) const {
-    const Average& false_strikes = is_parent(node) ? false_parent_failures : false_cache_failures;
-    const double common = false_strikes.has_data() ? std::clamp(false_strikes.mean(), 1e-6, 0.9) : 0;
-    return common > 0 ? std::max<double>(kFailuresToEject, std::log(kFalseEjectionChance) / std::log(common))
-                      : kFailuresToEject;
+    const Average& false_failures = is_parent(node) ? false_parent_failures : false_cache_failures;
+    const double false_failure_probability =
+        false_failures.has_data() ? std::clamp(false_failures.mean(), 1e-6, 0.9) : 0;
+    return false_failure_probability > 0
+               ? std::max<double>(kFailuresToEject,
+                                  std::log(kFalseEjectionChance) / std::log(false_failure_probability))
+               : kFailuresToEject;
   }
   void record_failure(int node, int failures) {
-    if (is_origin(node)) return;  // nobody could take its place, and nobody would try it again
+    if (is_origin(node)) return;  // no node could replace the origin, and no trial would reinstate it
     consecutive_failures[node] += failures;
     if (is_ejected(node)) {
       trial_backoff[node] = std::min(2 * trial_backoff[node], kMaxTrialInterval);
@@ -550,7 +614,7 @@
     } else if (consecutive_failures[node] >= failures_to_eject(node)) {
       ejected_since[node] = now, trial_backoff[node] = kFirstTrialDelay,
       next_trial[node] = now + trial_pause(node, true);
-      actions.log("left out: " + node_id[node].value);
+      actions.log("node ejected: " + node_id[node].value);
     }
   }
   void record_answer(int node) {
@@ -560,18 +624,18 @@
     if (!is_ejected(node)) return;
     if (now - ejected_since[node] > kUnnoticedRestartAfter) record_start(node, assumed_start[node] = now);
     ejected_since[node] = kDistantPast;
-    actions.log("back: " + node_id[node].value);
+    actions.log("node reinstated: " + node_id[node].value);
   }
-  // Whatever was measured before a start tells nothing of what runs now.
+  // Discards the measurements of a node's previous process: they say nothing about the one that runs now.
   void record_start(int node, Seconds start) {
     if (start <= started_at[node]) return;
     started_at[node] = start;
     fill_rate[node] = hit_share[node] = serve_rate[node] = node_hit_slowdown[node] = Average();
-    if (start > ejected_since[node])
-      consecutive_failures[node] = 0, ejected_since[node] = kDistantPast;  // what was silent runs no more
+    // The process that was silent no longer runs.
+    if (start > ejected_since[node]) consecutive_failures[node] = 0, ejected_since[node] = kDistantPast;
   }
 
-  // --- figures of a request ---
+  // --- estimates for a request ---
   RequestClass& request_class_of(const Request& request) { return request_classes[request.request_class]; }
   double mean_send_time(const Request& request) {
     const Average& send_times = request_class_of(request).send_times;
@@ -589,8 +653,8 @@
     return request_class_of(request).base_latency_target +
            request_class_of(request).latency_target_stretch * send_time(request);
   }
-  // A further attempt only if the time left exceeds what it is expected to take. The first is always made:
-  // after a slow spell nothing else would tell that things go faster again.
+  // A further attempt is made only if the time left exceeds the attempt's expected duration. The first is
+  // always made: after a slow phase nothing else would show that the nodes are fast again.
   bool has_time_for_attempt(const Request& request) {
     return request.attempts.empty() || request.deadline - now > expected_duration(request);
   }
@@ -598,14 +662,16 @@
     return elapsed - send_time(request) >
            kOverloadSlackFraction * (latency_target(request) - send_time(request));
   }
-  // What our own side could not even ask for burdens no node and is not counted, but has a bound of its own.
+  // An attempt that failed on our own side loads no node. It does not count as an attempt, but has its own
+  // limit.
   bool has_attempts_left(const Request& request) const {
     const auto attempts_sent = static_cast<double>(request.attempts.size()) - request.local_failures;
     return attempts_sent < max_attempts && request.local_failures < kMaxLocalFailures;
   }
 
-  // Rule 2: a fingerprinted request that may have run stays in the group that knows the repeat, and a further
-  // attempt must end, not only begin, while repeats are dropped there: past the window it would run again.
+  // Rule 2: a deduplicated request that may have run stays within the nodes that recognize the repeat, and a
+  // further attempt must end, not only begin, within the deduplication window: past it the request would run
+  // again.
   Seconds dedup_window_left(const Request& request) {
     return request.first_sent_at + request_class_of(request).dedup_window - now;
   }
@@ -621,7 +687,8 @@
     return request_class.dedup_scope == "all";
   }
 
-  // The design's spread: what passes a quarter of its home's rate. An unheard home counts as average.
+  // The design's spread: an object is hot above a quarter of its home's serving rate. A home without
+  // measurements counts as average.
   bool is_hot(const Request& request, double recent_kb) {
     const std::vector<int>& order = caches_for(request);
     if (order.empty()) return false;
@@ -638,14 +705,14 @@
     Seconds bound = request_class.fresh_for > 0 && request.accepts_stale
                         ? request_class.fresh_for + request_class.stale_for
                         : request_class.fresh_for;
-    // Rule 5: both kinds of purge count until every node must have dropped its older copies.
+    // Rule 5: purges of objects and of groups count until every node must have dropped its older copies.
     const auto purged_at = invalidations.latest_purge({request.object}, {request.group});
     if (!purged_at) return bound;
     const Seconds since = std::max(now - *purged_at, kMinCopyAge);
     return bound > 0 ? std::min(bound, since) : since;
   }
 
-  // --- choices: pure, so that a rule may ask before it acts ---
+  // --- choices: without side effects, so that a rule can evaluate them before it acts ---
   struct Route {
     int node = kNoNode, source = kNoNode, trial_node = kNoNode;
     explicit operator bool() const { return node != kNoNode && source != kNoNode; }
@@ -655,9 +722,9 @@
            now >= next_trial[node];
   }
 
-  // The cache for a request: its home, or the next by the hash that can take it; of the top two for a spread
-  // object the one with less of our work in hand. One that is left out gets a request now and then as a
-  // trial.
+  // The cache for a request: its home, or the next by the hash that can take it. For a hot object, of the top
+  // two the one with less of this director's work in flight. An ejected cache gets a request now and then as
+  // a trial.
   Route choose_cache(const Request& request) {
     const double work = mean_send_time(request);
     std::vector<int> candidates;
@@ -678,29 +745,31 @@
     }
     if (candidates.empty()) return {};
     const auto load = [&](int position) {
-      return work_out[candidates[position]] / hash_weight(candidates[position]);
+      return work_in_flight[candidates[position]] / hash_weight(candidates[position]);
     };
     const int node = candidates.size() == 2 && load(1) < load(0) ? candidates[1] : candidates[0];
     return {node, node, kNoNode};
   }
 
   bool can_fill_from(const Request& request, int node) {
-    // Guards against retries that keep a jam alive after its cause has gone: fills that failed are tried
-    // again only in proportion to those that come in, whatever the number of directors.
+    // Guards against retries that keep up an overload after its cause has gone: failed fills are repeated
+    // only in proportion to the fills that succeed, whatever the number of directors.
     if (request.fill_failed && !is_cache_kind(node) && retry_budget < 1) return false;
     return running[node] && !request.origin_excluded && !contains(request.excluded_sources, node) &&
            has_budget(node, send_time(request));
   }
-  // Guards against a location's link that all its directors fill at once, each within its own rooms: at each
-  // report that it is full, a smaller part of the requests may start a fill from outside.
+  // Guards against a location's link that all directors fill at once, each within its own concurrency limits:
+  // with each report of a full link, a smaller fraction of the requests may start a fill from outside the
+  // location.
   bool link_admits(const Request& request) { return request.admission_draw <= link_fraction; }
-  // Guards against a crowd at the origin, whether it is slow, turns requests away or would stop: as fills
-  // fail there, a smaller part of the requests may make a parent fetch; the others get what parents hold.
+  // Guards against overload of the origin, whether it answers slowly, rejects requests or is about to stop:
+  // as fills fail there, a smaller fraction of the requests may make a parent fetch from it. The other
+  // requests get only what the parents hold.
   bool origin_admits(const Request& request) {
     return is_write(request) || request.admission_draw <= origin_fraction;
   }
-  // It grows by time, not by the number of answers: a director that hears of the origin only now and then
-  // would else keep a cut for many seconds after its cause.
+  // The fraction grows with time, not with the number of answers: otherwise a director that rarely gets an
+  // answer from the origin would keep a decrease for many seconds after its cause has gone.
   void adjust_origin_fraction(double factor, Seconds sent_at) {
     if (factor >= 1) {
       ++origin_good_answers;
@@ -710,11 +779,11 @@
     }
     if (factor >= 1 || sent_at <= origin_decreased_at) return;
     origin_fraction = std::max(kMinOriginFraction, factor * origin_fraction),
-    origin_decreased_at = origin_recovered_at = now;
+    origin_decreased_at = origin_recovery_step_at = now;
   }
-  // Guards against a queue at the origin that grows for seconds before the first refusal, while every late
-  // fill is tried behind another parent too. Meets a slow origin as well; it hurts where waits vary by
-  // nature.
+  // Guards against a queue at the origin that grows for seconds before the first rejection, while every late
+  // fill is repeated through another parent too. It also reacts to an origin that is merely slow. The cost:
+  // fewer fills where the waits vary by nature.
   double origin_wait_factor(Seconds source_wait) {
     const double longest_usual = kOriginSlowFactor * std::max(usual_origin_wait.mean(), kMinOriginWait);
     if (source_wait > 0 && usual_origin_wait.weight >= 2 && source_wait > longest_usual)
@@ -722,12 +791,13 @@
     if (source_wait > 0) usual_origin_wait.add(now, source_wait, 1);
     return 1;
   }
-  // The objects let through are held before long; only others show that the origin is well again.
+  // The objects that are let through are soon held in caches; only further objects can show that the origin
+  // has recovered.
   void recover_origin_fraction() {
-    if (now - origin_recovered_at < kOriginRecoveryInterval) return;
-    origin_fraction = std::min(1.0, 2 * origin_fraction), origin_recovered_at = now;
+    if (now - origin_recovery_step_at < kOriginRecoveryInterval) return;
+    origin_fraction = std::min(1.0, 2 * origin_fraction), origin_recovery_step_at = now;
   }
-  // Most requests that name a source never need it: of those out, the usual part counts.
+  // Most requests that name a fill source never need it: of those in flight, the usual fraction counts.
   double source_load(int node) {
     return (is_cache_kind(node) ? 0 : attempts_at[node]) +
            attempts_from[node] * (fill_ratio.has_data() ? fill_ratio.mean() : 1);
@@ -736,10 +806,10 @@
     return source_load(node) < concurrency_limit[node] * size_factor(request);
   }
 
-  // The design's companion: a spread object is filled from the other of the hash's top two. So is any other
-  // while its cache has just started, and its home until then, the next by the hash, may still hold it.
-  // Guards against a location's link that a release fills with copies which are there already; where the
-  // other lacks it, that costs a moment and an attempt.
+  // Part of the design: a hot object is filled from the other one of the hash's top two caches. So is any
+  // other object while its home cache has just started, because its previous home, the next by the hash, may
+  // still hold it. Guards against a release that fills a location's link with copies which are there already.
+  // The cost, where the other cache lacks the object: a moment and an attempt.
   Route sibling_route(const Request& request) {
     const std::vector<int>& order = caches_for(request);
     const bool cache_took_over =
@@ -769,8 +839,9 @@
     }
     return kNoNode;
   }
-  // The origin is asked only when no parent is kept. One that is kept but crowded, or that has just refused,
-  // does not count: the crowd would only move on to the origin, which all parents need.
+  // The origin is used only when no parent is kept. A parent that is kept but at its limit, or that has just
+  // rejected a request, still counts as kept: otherwise the overload would only move to the origin, which all
+  // parents need.
   bool any_parent_eligible(const Request& request) {
     for (const int node : sorted_nodes().parents)
       if (running[node] && !is_ejected(node) && passes_bands(node) && has_budget(node, send_time(request)))
@@ -796,14 +867,16 @@
     route.source = choose_origin(request);
     return route;
   }
-  // While no source can take a fill, what the home holds can still be had: a copy may have come since a look.
+  // While no source can take a fill, the home cache is still asked for a copy it holds: one may have arrived
+  // since the last lookup.
   Route cached_route(const Request& request) {
     return !request.attempts.empty() && request.attempts.back().source == request.attempts.back().node
                ? Route()
                : choose_cache(request);
   }
-  // Guards against fills of what is being filled already, where a request can't join one: it asks for what
-  // the home holds first, which costs a millisecond, and while the copy is under way again in a moment.
+  // Guards against a second fill of an object that is being filled, where a request can't join the first
+  // fill: the home cache is first asked for a copy it holds, which costs a millisecond, and asked again after
+  // a short delay while the fill is in progress.
   Route lookup_route(const Request& request) {
     if (request.hot || request.fill_failed || request.lookups >= kMaxLookups) return {};
     if (can_join) {
@@ -814,7 +887,7 @@
     const Route route = choose_cache(request);
     return route && route.trial_node == kNoNode && !is_warming_up(route.node) ? route : Route();
   }
-  // Past the caches, where the site lets us: only when none of them is up and warm enough to be asked.
+  // Bypasses the caches where the settings allow it, and only when no cache is up and warm enough to be used.
   Route direct_route(const Request& request) {
     if (!may_bypass_caches || choose_cache(request)) return {};
     Route route;
@@ -826,7 +899,8 @@
       route.source = origin();
     return route;
   }
-  // A write is never kept: no hierarchy can serve it. It takes the way with the fewest parts that can fail.
+  // A write is never stored, so no cache hierarchy can serve it: it takes the route with the fewest nodes
+  // that can fail.
   Route write_route(const Request& request) {
     const int origin = choose_origin(request);
     if (origin != kNoNode && may_bypass_caches && may_send_to(request, origin))
@@ -835,7 +909,7 @@
     route.source = origin;
     return route ? route : parent_route(request);
   }
-  // A copy past its fresh time, where the grade allows one and all else has failed.
+  // A copy past its fresh time, where the request class allows one and all else has failed.
   Route stale_route(const Request& request) {
     if (request.accepts_stale || request_class_of(request).stale_for <= 0) return {};
     return choose_cache(request);
@@ -856,12 +930,12 @@
     if (request.fill_failed && route.source != route.node && !is_cache_kind(route.source)) retry_budget -= 1;
     const Seconds expected_time = expected_duration(request),
                   slack = latency_target(request) - (now - request.arrived_at) - expected_time;
-    // As long as a further attempt could still make the contract time; less for a member on trial, and where
-    // lateness alone gives nothing up (late).
+    // The attempt counts as late when a further attempt could no longer meet the latency target. Earlier for
+    // a trial, and earlier where lateness alone abandons nothing (handle_late_attempt).
     new_attempt.late_after = new_attempt.is_trial || !may_send_concurrent_attempts
                                  ? kLateFactor * expected_time
                                  : std::max(kLateFactor * expected_time, slack);
-    // At the origin itself what is usual there goes on top; what takes longer shows a queue.
+    // At the origin itself the usual wait is added; a longer one shows a queue.
     if (is_origin(route.node) && usual_origin_wait.has_data())
       new_attempt.late_after = expected_time + std::max(usual_origin_wait.mean(), kMinOriginWait);
     const int rank = is_write(request) ? 0 : request.hot ? 3 : request.requested_before ? 2 : 1;
@@ -880,7 +954,7 @@
     if (!would_repeat(request)) request.first_node = route.node, request.first_sent_at = now;
     request.attempts.push_back(new_attempt);
     request.overdue = false;
-    work_out[route.node] += send_time(request);
+    work_in_flight[route.node] += send_time(request);
     ++attempts_at[route.node], ++attempts_from[route.source];
     actions.attempt(request.id, node_id[route.node], fill,
                     repeatable && !acts_when_late ? new_attempt.late_after : dedup_window);
@@ -898,7 +972,7 @@
   }
 
   // --- the rules: conditions and effects ---
-  bool is_unanswered(const Request& request) { return !request.finished && !request.answer_started; }
+  bool is_unanswered(const Request& request) { return !request.closed && !request.answer_started; }
   bool is_idle(const Request& request) {
     return is_unanswered(request) && request.in_flight_count() == 0 && now >= request.resume_at;
   }
@@ -910,11 +984,11 @@
   }
   bool is_write(const Request& request) { return request.write || request_class_of(request).goes_to_origin; }
 
-  bool is_finished(const Request& request) { return request.finished && request.in_flight_count() == 0; }
+  bool is_finished(const Request& request) { return request.closed && request.in_flight_count() == 0; }
   void erase_request(Request& request) { requests.erase(RequestId(request.id)); }
 
   bool has_open_attempts(const Request& request) {
-    if (!request.finished || !may_cancel) return false;
+    if (!request.closed || !may_cancel) return false;
     return std::any_of(request.attempts.begin(), request.attempts.end(),
                        [](const Attempt& attempt) { return attempt.in_flight && !attempt.cancelled; });
   }
@@ -926,34 +1000,37 @@
     }
   }
 
-  // No answer is late by the client's own deadline then, so it is rejected like one that nobody can take.
+  // An answer now would not be late by the client's own deadline, so the request is rejected like one that no
+  // node can take.
   bool is_past_capped_deadline(const Request& request) {
     return request.deadline_capped && is_past_deadline(request);
   }
   bool is_past_deadline(const Request& request) {
     return is_unanswered(request) && now >= request.deadline - clock_period;
   }
-  void fail(Request& request) { request.finished = true, actions.fail(request.id); }
+  void fail(Request& request) { request.closed = true, actions.fail(request.id); }
 
-  // Rule 2: a binding request that may have run gets no further attempt, and no promise; nor does a
-  // fingerprinted one whose mark may be forgotten before its repeat, or its client's, has ended.
+  // Rule 2: a request that is not retryable and may have run gets no further attempt, and the client is not
+  // told to retry. The same holds for a deduplicated one whose first run may be forgotten before its repeat,
+  // or the client's, has ended.
   bool has_no_attempt_left(const Request& request) {
     const RequestClass& request_class = request_class_of(request);
-    const bool binding = request_class.effect == Effect::kNotRetryable;
-    const bool late_copy = request_class.effect == Effect::kDeduplicated &&
-                           dedup_window_left(request) <= expected_duration(request);
-    const bool stuck = request.may_have_run && (binding || late_copy);
-    return is_idle(request) && (stuck || !has_attempts_left(request) || !has_time_for_attempt(request));
+    const bool not_retryable = request_class.effect == Effect::kNotRetryable;
+    const bool window_too_short = request_class.effect == Effect::kDeduplicated &&
+                                  dedup_window_left(request) <= expected_duration(request);
+    const bool must_not_repeat = request.may_have_run && (not_retryable || window_too_short);
+    return is_idle(request) &&
+           (must_not_repeat || !has_attempts_left(request) || !has_time_for_attempt(request));
   }
   void reject_or_fail(Request& request) {
     const RequestClass& request_class = request_class_of(request);
-    const bool harmless =
+    const bool safe_to_retry =
         request_class.effect == Effect::kRetryable ||
         (!request.may_have_run && request.in_flight_count() == 0) ||
         (request_class.effect == Effect::kDeduplicated && request_class.dedup_scope == "all" &&
          dedup_window_left(request) > max_retry_after + expected_duration(request));
-    if (!harmless) return fail(request);
-    request.finished = true;
+    if (!safe_to_retry) return fail(request);
+    request.closed = true;
     const double draw = std::uniform_real_distribution<double>(0.5, 1)(random_engine);
     actions.reject(request.id, may_send_retry_after ? draw * max_retry_after : 0);
   }
@@ -988,8 +1065,8 @@
   void apply_rules() {
     for (std::size_t i = 0; i < touched.size(); ++i) {
       for (Request* request = find_request(touched[i]); request; request = find_request(touched[i])) {
-        const auto fires = [&](const Rule& rule) { return (this->*rule.condition)(*request); };
-        const auto rule = std::find_if(kRules.begin(), kRules.end(), fires);
+        const auto applies = [&](const Rule& rule) { return (this->*rule.condition)(*request); };
+        const auto rule = std::find_if(kRules.begin(), kRules.end(), applies);
         if (rule == kRules.end()) break;
         (this->*rule->effect)(*request);
       }
@@ -997,7 +1074,7 @@
     touched.clear();
   }
 
-  // --- what is learnt from outcomes ---
+  // --- learning from outcomes ---
   void record_outcome(Request& request, Attempt& attempt, Result result, AnswerDetail detail,
                       Seconds source_wait, Seconds elapsed) {
     const int cache = attempt.node, source_node = attempt.source;
@@ -1020,9 +1097,10 @@
         if (measurable && detail == AnswerDetail::kHit)
           hit_slowdown.add(now, elapsed, send_time(request)),
               node_hit_slowdown[cache].add(now, elapsed, send_time(request));
-        // A fill that never took place is taken off the source's budget, at the time it was charged: a later
-        // entry would outlive the charge and let more through than the budget holds. Only a note tells it,
-        // and a copy that is renewed behind its answer asks the source all the same.
+        // A fill that did not take place is refunded to the source's budget with the time of its charge: a
+        // later entry would outlive the charge, and more than the budget would be let through. Only an
+        // answer's detail shows this, and a copy that is refreshed in the background uses the source all the
+        // same.
         if ((detail == AnswerDetail::kHit || detail == AnswerDetail::kJoined) &&
             request_class_of(request).fresh_for <= 0 && attempt.source_charge > 0)
           budget_charges[source_node].emplace_back(attempt.sent_at, -attempt.source_charge);
@@ -1043,7 +1121,8 @@
           if (by_origin) origin_rate.add(now, request.size_kb, elapsed);
         }
         if (by_origin) adjust_origin_fraction(origin_wait_factor(source_wait), attempt.sent_at);
-        // Only full notes tell whether a parent held it; a sibling gives nothing else than what it holds.
+        // Only complete answer details show whether a parent held the object; a sibling serves nothing but
+        // what it holds.
         if (is_cache_kind(source_node) || reports_answer_details)
           hit_share[source_node].add(now, detail == AnswerDetail::kFilled ? 1 : 0, 1);
         break;
@@ -1055,7 +1134,7 @@
         if (!has_source) break;
         if (is_cache_kind(source_node)) record_answer(source_node), hit_share[source_node].add(now, 0, 1);
         if (is_parent(source_node))
-          record_answer(source_node), request.origin_excluded = true;  // it was to give what it held
+          record_answer(source_node), request.origin_excluded = true;  // it was asked only for what it holds
         request.excluded_sources.push_back(source_node);
         break;
       case Result::kRejected:
@@ -1063,7 +1142,8 @@
         if (has_source && (source_lost || detail == AnswerDetail::kSourceRejected ||
                            detail == AnswerDetail::kOriginFailed)) {
           request.excluded_sources.push_back(source_node), request.fill_failed = true;
-          // What failed behind one parent fails behind the next, and the next try only adds to it.
+          // A fill that the origin failed behind one parent fails behind the next, and a retry would only add
+          // to its load.
           if (detail == AnswerDetail::kOriginFailed) request.origin_excluded = true;
           if (!is_cache_kind(source_node) && !source_lost)
             adjust_origin_fraction(kOriginFailureDecrease, attempt.sent_at);
@@ -1072,7 +1152,7 @@
             record_failure(source_node, 1),
                 fill_rate[source_node].add(now, 0, std::max(source_wait, kMinMeasurableTransfer));
         } else if (result == Result::kRejected && is_origin(cache)) {
-          // Once may be the connection's fault; the next goes out on another.
+          // A single failure may be due to the connection; the next attempt uses another one.
           if (request.attempts.size() > 1) adjust_origin_fraction(kOriginFailureDecrease, attempt.sent_at);
           if (request.deadline - now > 2 * kWriteRetryDelay)
             resume_after(request,
@@ -1083,11 +1163,11 @@
         break;
       case Result::kUnreachable:
       case Result::kBroken:
-        // A trial that found nobody there is taken off: it reached no node that has just started.
+        // A trial that could not connect is refunded: it reached no node that has just started.
         if (result == Result::kUnreachable && attempt.trial_charge > 0)
           budget_charges[cache].emplace_back(attempt.sent_at, -attempt.trial_charge);
-        // One broken attempt may be chance, and the home is still the best to ask. A node that died breaks
-        // all that it held, and then can't be reached.
+        // A single broken attempt may be chance, and the home is still the best choice. A node that has died
+        // breaks all its connections and can't be reached afterwards.
         record_failure(cache, result == Result::kBroken ? 1 : kFailuresToEject);
         if (is_ejected(cache) || is_origin(cache)) request.excluded_nodes.push_back(cache);
         break;
@@ -1098,8 +1178,8 @@
         if (result == Result::kTimedOut) blame_for_lateness(request, attempt);
     }
   }
-  // Guards against a moment without local ports, descriptors or a route, in which all attempts of a request
-  // would be used up at once. It says nothing of the node, which stays the best to ask.
+  // Guards against a short shortage of local ports, descriptors or routes, during which a request would use
+  // up all its attempts at once. It says nothing about the node, which remains the best choice.
   void retry_after_local_failure(Request& request) {
     const Seconds pause = kLocalFailureDelay * (1 << request.local_failures);
     ++request.local_failures;
@@ -1116,16 +1196,18 @@
   void adjust_link_fraction(double fullness) {
     if (now - link_updated_at < kMinReportInterval) return;
     link_updated_at = now;
-    // In proportion to what is too much or too little: steps of one size swung between shut and open.
+    // Changes in proportion to the excess or the spare capacity: steps of a fixed size oscillated between
+    // closed and open.
     link_fraction = fullness > 1
                         ? std::max(kMinLinkFraction, link_fraction * std::max(kMaxLinkDecrease, 1 / fullness))
                         : std::min(1.0, link_fraction + kLinkIncrease * (1 - fullness));
   }
-  // Stands in for the report where no node tells how full the location's link is: past it a fill is no slower
-  // than a hit until the link is full, whichever source it comes from. Its wait for the source is left out.
-  // Meets a slow link of all sources too; it hurts where a crowd at one parent slows most of our fills.
-  void measure_link(Seconds sending, double bare) {
-    fill_slowdown.first += sending, fill_slowdown.second += bare;
+  // Replaces the report where no node reports how full the location's link is: over that link, fills are no
+  // slower than hits until the link is full, whichever source they come from. The wait for the source is not
+  // counted. It also reacts to a link that is slow for all sources. The cost: fewer fills where overload at
+  // one parent slows most of them.
+  void measure_link(Seconds sending_time, double unloaded_time) {
+    fill_slowdown.first += sending_time, fill_slowdown.second += unloaded_time;
     if (link_is_reported || now - link_updated_at < kMinReportInterval ||
         ++fills_measured < kFillsPerLinkEstimate)
       return;
@@ -1133,8 +1215,9 @@
     fill_slowdown = {}, fills_measured = 0;
   }
 
-  // Who is to blame for an attempt that stays out: the cache if not heard of since, else the source if
-  // nothing has come from it since. If both have been heard of, they are slow, and no other would be faster.
+  // Decides which node is responsible for a late attempt: the cache if it has not answered since, otherwise
+  // the source if no fill from it has arrived since. If both have, they are slow, and no other node would be
+  // faster.
   bool blame_for_lateness(Request& request, const Attempt& attempt) {
     if (answered_at[attempt.node] < attempt.sent_at) {
       record_failure(attempt.node, 1);
@@ -1142,7 +1225,8 @@
       return true;
     }
     const bool has_source = attempt.source != attempt.node;
-    // Late is late, whoever is to blame; but early in its slack, or far from its limit, it shows no crowd.
+    // The attempt is late whichever node is responsible, but it shows no overload while most of its slack is
+    // left or the node is far from its limit.
     const int node = has_source ? attempt.source : attempt.node;
     const bool near_limit =
         (has_source ? source_load(node) : attempts_at[node]) >= kNearLimitFraction * concurrency_limit[node];
@@ -1157,18 +1241,20 @@
     const auto found = requests.find(id);
     return found == requests.end() ? nullptr : &found->second;
   }
-  // Guards against a queue at the origin that is told of only by answers that have waited in it: who has
-  // heard of cache and parent since, but not of the fill, hears of the origin. Meets a slow and a crowded
-  // one; it hurts where a parent's link is slow just then, for as long as its part takes to grow again. A
-  // fill that takes long to send may be late by that alone.
+  // Guards against a queue at the origin that only shows in answers which have waited in it: when the cache
+  // and the parent have answered other requests since, but this fill is missing, the origin is late. It
+  // reacts to a slow and to an overloaded origin. The cost, where a parent's link is slow at that moment:
+  // fewer requests reach the origin until its fraction has grown again. A fill that takes long to send may be
+  // late for that reason alone.
   bool is_late_at_origin(const Request& request, const Attempt& attempt) {
     if (is_origin(attempt.node)) return true;
     if (send_time(request) >= kMinMeasurableTransfer) return false;
     if (now - attempt.sent_at <
         expected_duration(request) + (usual_origin_wait.has_data() ? usual_origin_wait.mean() : 0))
       return false;
-    // Silence blames a node only where it would have been heard of by now. A director with few requests hears
-    // of nobody in that time: past the contract time a trouble of the origin, once known, is the likelier.
+    // Silence points to a node only where an answer would have been due by now. A director with few requests
+    // gets no answer from any node in that time: past the latency target, a known problem of the origin is
+    // then the more likely cause.
     const bool past_target = origin_fraction < 1 && now - request.arrived_at > latency_target(request);
     const auto answered_since = [&](const std::vector<Seconds>& times,
                                     const std::vector<Average>& answer_rates, int node) {
@@ -1185,28 +1271,31 @@
     if (!attempt.in_flight || attempt.cancelled || !is_unanswered(request)) return;
     const bool first = !std::exchange(attempt.marked_late, true);
     if (is_late_at_origin(request, attempt) && attempt.sent_at > origin_decreased_at) {
-      // One among many in good time is chance: what came well since the last late one softens the cut.
+      // One late attempt among many in good time is chance: good answers since the last late one soften the
+      // decrease.
       adjust_origin_fraction(1 - (1 - kOriginLateDecrease) / (1 + origin_good_answers), attempt.sent_at);
       origin_good_answers = 0;
     }
     if (request_class_of(request).effect != Effect::kRetryable) return;
-    // Guards against waits on a slow source that keep hits out: a late fill gives its cache's room back.
+    // Guards against waits for a slow source that block hits: a late fill no longer counts towards its
+    // cache's concurrency limit.
     if (attempt.source != attempt.node)
       attempts_at[attempt.node] -= std::exchange(attempt.occupies_node, false);
     const bool node_blamed = first && blame_for_lateness(request, attempt);
-    set_late_timer(
-        request, attempt_index,
-        std::max(expected_duration(request), kAttemptOverhead));  // bounds the wakes of one attempt
+    // kAttemptOverhead bounds the number of timers of one attempt.
+    set_late_timer(request, attempt_index, std::max(expected_duration(request), kAttemptOverhead));
     if (may_send_concurrent_attempts) {
-      // Guards against a late fill for each parent while it is the origin behind all of them that is slow.
-      // Hurts where a parent vanishes just then: its fills wait out their time until strikes leave it out.
+      // Guards against one late fill through each parent while the origin behind all of them is slow. The
+      // cost, where a parent disappears at that moment: its fills wait until their deadline unless failures
+      // eject it before.
       if (is_parent(attempt.source) && origin_fraction < 1 && answered_at[attempt.node] >= attempt.sent_at)
         return;
       request.overdue = node_blamed;
     } else {
-      // Guards against giving up what would still have come, where a further attempt costs the one that is
-      // out: most late ones come, and each made anew asks one more parent, and the origin, for the same.
-      // Meets slow nodes, slow sources and crowds; it hurts where answers are lost, which wait to the end.
+      // Guards against abandoning answers that would still have arrived, where a further attempt requires
+      // cancelling the one in flight: most late answers arrive, and each repeated fill loads one more parent,
+      // and the origin, with the same object. It applies to slow nodes, slow sources and overload. The cost:
+      // where answers are lost, requests wait until their deadline.
       const bool node_ejected = is_ejected(attempt.node) || is_ejected(attempt.source),
                  can_fill = !request.fill_failed || retry_budget >= 1;
       attempt.cancelled =
@@ -1224,8 +1313,9 @@
     std::erase_if(part_usage,
                   [&](const auto& entry) { return now - entry.second.last_request_at > kRetention; });
     invalidations.expire(now);
-    // Guards against ids that keep coming: a gone node is forgotten once nothing of it is out and its budget
-    // is past. It hurts nobody: should the id come back, it counts as just started.
+    // Guards against node ids that keep changing: a node that has left the list is forgotten once none of its
+    // attempts is in flight and its budget has expired. There is no cost: should the id return, it counts as
+    // just started.
     for (int node = 0; node < count(); ++node)
       if (!listed[node] && attempts_at[node] + attempts_from[node] == 0 &&
           now - std::max(started_at[node], answered_at[node]) > kRetention)
@@ -1235,7 +1325,7 @@
     actions.set_timer(now + kSweepInterval, {"sweep"});
   }
 
-  std::vector<RequestId> touched;
+  std::vector<RequestId> touched;  // requests for which the rules are still to be evaluated
   Settings settings;
   Actions& actions;
   std::knuth_b random_engine;
@@ -1250,7 +1340,7 @@
   double max_attempts = 1, parent_start_fraction = 0, cache_start_fraction = 0, parent_budget_multiple = 2,
          cache_budget_multiple = 2;
   double directors_in_zone = 1, directors_in_total = 1;
-  mutable double directors_per_cache = 1;  // directors that share a cache; follows the groups
+  mutable double directors_per_cache = 1;  // follows the number of cache groups
   Seconds connection_idle = 0;
   OwnTraffic traffic;
   Seconds max_retry_after = 0, clock_period = 0, parent_warmup_time = 0, cache_warmup_time = 0,
@@ -1258,10 +1348,11 @@
   std::uint64_t list_version = 1;
   mutable SortedNodes sorted;
   mutable bool nodes_are_sorted = false;
+  // link_fraction, origin_fraction: of the requests, those that may start a fill or reach the origin.
   double transfer_kb_per_s = 0, link_fraction = 1, origin_fraction = 1, retry_budget = kMaxRetryBudget,
          origin_good_answers = 0;
   Seconds link_updated_at = kDistantPast, origin_decreased_at = kDistantPast,
-          origin_recovered_at = kDistantPast, origin_answered_at = kDistantPast;
+          origin_recovery_step_at = kDistantPast, origin_answered_at = kDistantPast;
   ListCompleteness completeness = ListCompleteness::kCached;
   Average duration_factor, origin_rate, usual_origin_wait, fill_ratio, all_send_times, false_cache_failures,
       false_parent_failures;
@@ -1270,48 +1361,50 @@
   int fills_measured = 0;
   bool link_is_reported = false;
 
+  // One entry per node, by the index of the node. Rates are in KB per second.
   std::unordered_map<std::string, int> node_index;
   std::vector<NodeId> node_id;
   std::vector<std::uint64_t> node_hash;
   std::vector<int> zone, kind, cell, consecutive_failures, attempts_at, attempts_from;
   std::vector<char> running, listed, in_current_list;
-  std::vector<double> weight, work_out, concurrency_limit;
+  std::vector<double> weight, work_in_flight, concurrency_limit;
   std::vector<Seconds> started_at, assumed_start, node_reported_start, ejected_since, next_trial,
       trial_backoff, answered_at, filled_at, limit_decreased_at;
   std::vector<Average> fill_rate, hit_share, serve_rate, node_hit_slowdown;
-  std::vector<std::vector<std::pair<Seconds, double>>> budget_charges;
+  std::vector<std::vector<std::pair<Seconds, double>>> budget_charges;  // time and seconds of sending
 
   std::map<RequestId, Request> requests;
   std::unordered_map<std::uint64_t, PartUsage> part_usage;
-  policy::Invalidations invalidations{0};  // its lifetime is read with the settings
+  policy::Invalidations invalidations{0};  // replaced when the settings are read
 };
 
-// From the top, until none fires. Each is a condition and an effect, both above.
+// Evaluated in this order, starting again at the top after each rule that applies. Each rule is a condition
+// and an effect, both defined above.
 const std::vector<Director::State::Rule> Director::State::kRules = {
-    {"over and all heard: forget it", &State::is_finished, &State::erase_request},
-    {"over with attempts out: call them off", &State::has_open_attempts, &State::cancel_attempts},
-    {"the director ends: give it up", &State::is_past_capped_deadline, &State::reject_or_fail},
-    {"its time is up: forfeit", &State::is_past_deadline, &State::fail},
-    {"no further attempt may or can be made: give it up", &State::has_no_attempt_left,
+    {"closed, and no attempt in flight: erase the request", &State::is_finished, &State::erase_request},
+    {"closed, with attempts in flight: cancel them", &State::has_open_attempts, &State::cancel_attempts},
+    {"the director ends: reject or fail", &State::is_past_capped_deadline, &State::reject_or_fail},
+    {"past its deadline: fail", &State::is_past_deadline, &State::fail},
+    {"no further attempt allowed or possible: reject or fail", &State::has_no_attempt_left,
      &State::reject_or_fail},
-    {"a write: the shortest way to the origin", &State::has_write_route,
+    {"write: the shortest route to the origin", &State::has_write_route,
      &State::send_on_route<&State::write_route>},
-    {"look first: home, what it holds", &State::has_route<&State::lookup_route>,
+    {"cache-only lookup at the home cache", &State::has_route<&State::lookup_route>,
      &State::send_lookup<&State::lookup_route>},
-    {"spread: filled from the other", &State::has_route<&State::sibling_route>,
+    {"hot, or its home has just started: fill from a sibling", &State::has_route<&State::sibling_route>,
      &State::send_on_route<&State::sibling_route>},
-    {"ordinary: a kept parent", &State::has_route<&State::parent_route>,
+    {"ordinary: fill from a kept parent", &State::has_route<&State::parent_route>,
      &State::send_on_route<&State::parent_route>},
-    {"no parent kept: the origin", &State::has_route<&State::origin_route>,
+    {"no parent kept: fill from the origin", &State::has_route<&State::origin_route>,
      &State::send_on_route<&State::origin_route>},
-    {"no source: what home holds", &State::has_route<&State::cached_route>,
+    {"no source available: a copy the home cache holds", &State::has_route<&State::cached_route>,
      &State::send_lookup<&State::cached_route>},
-    {"no cache: straight", &State::has_route<&State::direct_route>,
+    {"no cache available: bypass the caches", &State::has_route<&State::direct_route>,
      &State::send_on_route<&State::direct_route>},
-    {"nothing fresh to be had: a stale copy", &State::has_route<&State::stale_route>,
+    {"nothing fresh available: a stale copy", &State::has_route<&State::stale_route>,
      &State::send_on_stale_route},
-    {"late, and nobody else to ask: wait on", &State::is_overdue, &State::keep_waiting},
-    {"nobody to ask: give it up", &State::is_idle, &State::reject_or_fail},
+    {"late, and no other node to use: keep waiting", &State::is_overdue, &State::keep_waiting},
+    {"no node to use: reject or fail", &State::is_idle, &State::reject_or_fail},
 };
 
 // --- inputs ---
@@ -1347,7 +1440,7 @@
   state.invalidate_sorted_nodes();
   if (state.concurrency_limit[node] <= 0)
     state.concurrency_limit[node] = state.initial_concurrency_limit(node);
-  // What comes up without a start time may have started this moment.
+  // A node that appears without a start time may have started just now.
   if (started_at <= 0 && !(newly_listed && state.running[node])) return;
   const Seconds start = started_at > 0 ? started_at : now;
   state.node_reported_start[node] = reported_start > 0 ? std::min(reported_start, start) : start;
@@ -1356,11 +1449,11 @@
 
 void Director::list_ends(Seconds now) {
   State& state = state_->advance_to(now);
-  const bool whole =
+  const bool complete_list =
       state.completeness == ListCompleteness::kFull || state.completeness == ListCompleteness::kCached;
   for (int node = 0; node < state.count(); ++node)
-    if (whole && !state.in_current_list[node])
-      state.listed[node] = state.running[node] = false;  // rule 3: missing from a full list is gone
+    if (complete_list && !state.in_current_list[node])
+      state.listed[node] = state.running[node] = false;  // rule 3: a node missing from a full list has left
   state.invalidate_sorted_nodes();
 }
 
@@ -1381,13 +1474,15 @@
     state.request_classes[request.request_class].send_times.add(now, size_kb / state.transfer_kb_per_s, 1);
   if (!state.is_write(request)) {
     PartUsage& usage = state.part_usage[request.part_key];
+    // A single request within the span makes no object hot.
     request.requested_before = usage.last_request_at > kDistantPast,
-    request.hot = now - usage.last_request_at <= kHotObjectSpan;  // one request in the span is no crowd
+    request.hot = now - usage.last_request_at <= kHotObjectSpan;
     usage.recent_kb = usage.recent_kb * std::exp((usage.last_request_at - now) / kHotObjectSpan) + size_kb;
     usage.last_request_at = now, request.hot = request.hot && state.is_hot(request, usage.recent_kb);
   }
   state.all_send_times.add(now, state.send_time(request), 1);
-  // By object and time, so that neither a client's repeat nor another director draws anew.
+  // Derived from the object and the time, so that neither a client's repeat nor another director gets a
+  // different draw.
   const double draw = hash_to_unit_interval(mix(object.value) + static_cast<std::uint64_t>(now / kRetention));
   request.admission_draw = std::min(1.0, draw / state.size_factor(request));
   state.requests.insert_or_assign(id, std::move(request));
@@ -1398,7 +1493,7 @@
 void Director::client_disconnected(Seconds now, const RequestId& id) {
   State& state = state_->advance_to(now);
   if (!state.find_request(id)) return;
-  state.find_request(id)->finished = true;
+  state.find_request(id)->closed = true;
   state.touched.push_back(id);
   state.apply_rules();
 }
@@ -1422,13 +1517,13 @@
   state.record_load_report(node, report);
   if (!state.find_request(id)) return;
   Request& request = *state.find_request(id);
-  request.finished = request.finished || request_over;
+  request.closed = request.closed || request_over;
   const auto attempt_index = static_cast<std::size_t>(number.value);
   if (number.value >= 0 && attempt_index < request.attempts.size() &&
       request.attempts[attempt_index].in_flight) {
     Attempt& attempt = request.attempts[attempt_index];
     attempt.in_flight = false;
-    state.work_out[attempt.node] -= state.send_time(request);
+    state.work_in_flight[attempt.node] -= state.send_time(request);
     state.attempts_at[attempt.node] -= attempt.occupies_node, --state.attempts_from[attempt.source];
     const bool never_ran = result == Result::kRejected || result == Result::kUnreachable ||
                            result == Result::kNotSent || result == Result::kAbsent ||
@@ -1444,7 +1539,7 @@
   state_->advance_to(now).record_load_report(node, report);
 }
 
-// The moment of a purge is kept, not its age: bounds are taken from it when a request is sent.
+// The time of a purge is stored, not its age: age bounds are computed from it when a request is sent.
 void Director::object_purged(Seconds now, ObjectId object, Seconds age) {
   state_->advance_to(now).invalidations.object_purged(now, object, age);
 }
@@ -1459,8 +1554,8 @@
   if (token_text == "list") state.actions.watch_list();
   if (token_text == "deadlines-end") state.reconsider_all();
   if (token_text.starts_with("resume:")) {
-    // Guards against a clock that rounds: a wake may come a hair before the time that was asked for, and no
-    // second one would follow; the request would be held until its hard stop.
+    // Guards against a clock that rounds: a timer may fire slightly before the requested time, and no second
+    // one would follow, so that the request would be held until its deadline.
     if (Request* request = state.find_request({token_text.substr(7)})) request->resume_at = kDistantPast;
     state.touched.push_back({token_text.substr(7)});
   }
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -1,5 +1,6 @@
-// The interface of the decision module. It knows no protocol: whoever stands before it calls one method of
-// Director for each thing that happened and carries out what comes back through Actions.
+// The interface of the decision module. It is independent of any protocol: its caller, a protocol adapter or
+// a simulator, calls one method of Director for each event and carries out the effects requested through
+// Actions.
 #pragma once
 
 #include <compare>
@@ -11,7 +12,7 @@
 
 namespace hareramp {
 
-// Ids: one type each, so that none can be handed over in another's place.
+// A distinct type for each kind of id, so that one can't be passed in place of another.
 template <class Tag, class Value>
 struct Id {
   Value value{};
@@ -31,9 +32,10 @@
 using AttemptNumber = Id<struct AttemptTag, int>;
 
 using Seconds = double;
-using Settings = std::map<std::string, std::string>;  // names as the caller knows them, values as text
-using LoadReport = std::map<std::string, double>;     // a node's own figures, by name
+using Settings = std::map<std::string, std::string>;  // by the names that the caller uses, values as text
+using LoadReport = std::map<std::string, double>;     // a node's own measurements, by name
 
+// How an attempt ended.
 enum class Result {
   kCompleted,
   kError,
@@ -44,8 +46,9 @@
   kCancelled,
   kNotSent,
   kAbsent,
-  kLocalFailure  // our own side could not set up a connection; the node was not asked, and is not to blame
+  kLocalFailure  // our own side could not set up a connection; the node was not contacted and is not at fault
 };
+// What a node reports about how it got its answer, or about the reason of a failure.
 enum class AnswerDetail {
   kNone,
   kHit,
@@ -59,36 +62,38 @@
   kNoFillCapacity,
   kOriginFailed
 };
+// State of a listed node.
 enum class EndpointState { kRunning, kDraining, kRemoved };
+// What a list holds: only changes, all nodes, the nodes known from before, or nothing because it failed.
 enum class ListCompleteness { kChanges, kFull, kCached, kFailed };
 
-// How a miss is filled and what is kept of it.
+// How a miss is filled, and how the copy is stored.
 struct FillOptions {
-  NodeId source;             // the node itself: no fill
-  int rank = 0;              // 0 passes the object through; the lowest rank is dropped first
-  Seconds max_copy_age = 0;  // 0 leaves it to the grade's fresh time
+  NodeId source;             // equal to the node: no fill
+  int rank = 0;              // 0: the object is not stored; copies of the lowest rank are dropped first
+  Seconds max_copy_age = 0;  // 0: the fresh time of the request class applies
   bool join = false;
   bool cached_only = false;
   bool bypass_parent_storage = false;
   bool background_refresh = false;
 };
 
-// What the module can have done. Only called from within a call of Director.
+// Effects that the module requests. Called only during a call of a Director method.
 class Actions {
  public:
   virtual ~Actions() = default;
   virtual void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
-                       Seconds time_out) = 0;
+                       Seconds timeout) = 0;
   virtual void cancel(const RequestId& request, AttemptNumber number) = 0;
   virtual void reject(const RequestId& request, Seconds retry_after) = 0;
   virtual void fail(const RequestId& request) = 0;
   virtual void set_timer(Seconds at, const TimerToken& token) = 0;
   virtual void probe(const NodeId& node) = 0;
   virtual void watch_list() = 0;
-  virtual void log(const std::string& words) = 0;
+  virtual void log(const std::string& message) = 0;
 };
 
-// One director. Every call carries the clock; time never goes back.
+// One director. Every call passes the current time, which never decreases.
 class Director {
  public:
   Director(Seconds now, Settings settings, std::uint64_t seed, Actions& actions);
@@ -96,35 +101,38 @@
   Director(const Director&) = delete;
   Director& operator=(const Director&) = delete;
 
-  // The list of nodes comes as a start, an entry for each node, and an end. launched: when the node counts as
-  // started, 0 where the list does not tell. stamped: when it started by the list's own stamp, where that is
-  // earlier; 0 where it is the same. A late word of a start makes the first later than the second.
-  void list_starts(Seconds now, ListCompleteness scope);
+  // The node list is passed as a start, one entry per node, and an end.
+  // started_at: the time from which the node counts as started; 0 where the list does not state it.
+  // reported_start: the start time stamped by the list, where it is earlier than started_at; 0 where it is
+  // the same. A start that is learned of late makes started_at later than reported_start.
+  void list_starts(Seconds now, ListCompleteness completeness);
   void list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
-                  EndpointState endpoint_state, double weight, Seconds launched, Seconds stamped = 0);
+                  EndpointState endpoint_state, double weight, Seconds started_at,
+                  Seconds reported_start = 0);
   void list_ends(Seconds now);
 
   void request_arrived(Seconds now, const RequestId& request, RequestClassIndex request_class,
                        TenantIndex tenant, ObjectId object, PartNumber part, GroupId group, Seconds deadline,
                        double size_kb, bool resent, bool is_write);
   void client_disconnected(Seconds now, const RequestId& request);
-  // The director is to end: no deadline, of what is open or still comes, lies after that moment. A request
-  // that is cut short by it is rejected where that is true of it, and failed else.
+  // Called when the director is about to end: caps the deadlines of open and of later requests at that time.
+  // A request that this cuts short is rejected if a repeat of it is harmless, and failed otherwise.
   void cap_deadlines(Seconds now, Seconds at);
   void attempt_started(Seconds now, const RequestId& request, AttemptNumber number);
   void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
-                     Result result, AnswerDetail note, Seconds waited, Seconds spent,
+                     Result result, AnswerDetail detail, Seconds source_wait, Seconds elapsed,
                      const LoadReport& report, bool request_over);
   void probe_ended(Seconds now, const NodeId& node, Result result, const LoadReport& report);
   void object_purged(Seconds now, ObjectId object, Seconds age);
   void group_purged(Seconds now, GroupId group, Seconds age);
   void timer_fired(Seconds now, const TimerToken& token);
 
-  // The oldest copy that will do for a request now: it may be less than when the attempt was decided on,
-  // where a purge has come since. 0 where any age will do, or the request is not known (any more).
+  // Greatest age that a copy may have to serve the request now. It may be less than when the attempt was
+  // decided on, if a purge has arrived since. 0 if any age will do, or if the request is not known or no
+  // longer known.
   Seconds max_copy_age(Seconds now, const RequestId& request);
 
-  // Those listed, and those gone whose figures are still needed.
+  // Number of listed nodes, and of nodes that have left the list whose state is still needed.
   std::size_t nodes_known() const;
 
  private:
