--- a/src/policy/invalidations.cpp
+++ b/src/policy/invalidations.cpp
@@ -12,14 +12,15 @@
 constexpr int kFilterHashes = 4;
 constexpr std::uint64_t kGroupSalt = 0x67726f7570;  // keeps groups apart from objects of the same number
 
-std::uint64_t mix(std::uint64_t x) {
-  x += 0x9e3779b97f4a7c15U;
-  x = (x ^ (x >> 30U)) * 0xbf58476d1ce4e5b9U;
-  x = (x ^ (x >> 27U)) * 0x94d049bb133111ebU;
-  return x ^ (x >> 31U);
+std::uint64_t mix(std::uint64_t value) {
+  value += 0x9e3779b97f4a7c15U;
+  value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
+  value = (value ^ (value >> 27U)) * 0x94d049bb133111ebU;
+  return value ^ (value >> 31U);
 }
 
-// The bits of a key: an arithmetic sequence from two hashes, which is as good as independent ones.
+// Visits the bits of a key. Their positions are an arithmetic sequence from two hashes, which is as good as
+// independent hashes.
 template <class Visit>
 void visit_bits(std::uint64_t key, Visit visit) {
   std::uint64_t hash = mix(key);
@@ -34,15 +35,15 @@
 std::uint64_t key_of(ObjectId object) { return object.value; }
 std::uint64_t key_of(GroupId group) { return mix(static_cast<std::uint64_t>(group.value) ^ kGroupSalt); }
 
-// False where the key is new and the table is full.
+// Returns false if the key is new and the table is full.
 template <class Table, class Key>
-bool keep_latest(Table& table, const Key& key, std::size_t most, Seconds issued_at) {
+bool record_latest(Table& table, const Key& key, std::size_t max_entries, Seconds issued_at) {
   const auto found = table.find(key);
   if (found != table.end()) {
     found->second = std::max(found->second, issued_at);
     return true;
   }
-  if (table.size() >= most) return false;
+  if (table.size() >= max_entries) return false;
   table.emplace(key, issued_at);
   return true;
 }
@@ -65,29 +66,30 @@
 
 void Invalidations::object_purged(Seconds now, ObjectId object, Seconds age) {
   if (age > lifetime_) return;
-  if (!keep_latest(objects_, object.value, kExactObjectPurges, now - age))
+  if (!record_latest(objects_, object.value, kExactObjectPurges, now - age))
     add_to_overflow(now, key_of(object), now - age);
 }
 
 void Invalidations::group_purged(Seconds now, GroupId group, Seconds age) {
   if (age > lifetime_) return;
-  if (!keep_latest(groups_, group.value, kExactGroupPurges, now - age))
+  if (!record_latest(groups_, group.value, kExactGroupPurges, now - age))
     add_to_overflow(now, key_of(group), now - age);
 }
 
 void Invalidations::add_to_overflow(Seconds now, std::uint64_t key, Seconds issued_at) {
   rotate(now);
-  Generation& open = generations_[0];
-  if (!open.used) {
-    open.used = true;
-    open.opened_at = now;
-    open.latest = issued_at;
+  Generation& current = generations_[0];
+  if (!current.used) {
+    current.used = true;
+    current.opened_at = now;
+    current.latest = issued_at;
   }
-  open.latest = std::max(open.latest, issued_at);
-  open.keys.add(key);
+  current.latest = std::max(current.latest, issued_at);
+  current.keys.add(key);
 }
 
-// A generation takes keys for one lifetime. By then the purges of the one before it are all older than that.
+// A generation receives keys for one lifetime. By then all purges of the generation before it are older than
+// the lifetime.
 void Invalidations::rotate(Seconds now) {
   if (!generations_[0].used || now - generations_[0].opened_at <= lifetime_) return;
   generations_[1] = std::exchange(generations_[0], Generation());
@@ -109,9 +111,9 @@
 }
 
 void Invalidations::expire(Seconds now) {
-  const auto over = [&](const auto& entry) { return now - entry.second > lifetime_; };
-  std::erase_if(objects_, over);
-  std::erase_if(groups_, over);
+  const auto expired = [&](const auto& entry) { return now - entry.second > lifetime_; };
+  std::erase_if(objects_, expired);
+  std::erase_if(groups_, expired);
   for (Generation& generation : generations_)
     if (generation.used && now - generation.latest > lifetime_) generation = Generation();
 }
--- a/src/policy/invalidations.hpp
+++ b/src/policy/invalidations.hpp
@@ -1,7 +1,7 @@
-// Which purges still bound the age of copies: a decision module of its own, without clock or sockets. Purges
-// of objects are kept one by one up to a bound. Past it they go into Bloom filters, which may take an object
-// for purged that was not, never the reverse: a bound becomes stricter by that, never laxer. So memory stays
-// bounded for any backlog, and no purge is lost.
+// Keeps the purges that still bound the age of copies. Independent of clock and sockets. Purges of objects
+// are kept individually up to a limit. Past it they go into Bloom filters, which may treat an object as
+// purged that was not, but never miss one that was: an age bound can only become stricter by this. Memory is
+// thus bounded for any backlog, and no purge is lost.
 #pragma once
 
 #include <array>
@@ -15,13 +15,13 @@
 
 namespace hareramp::policy {
 
-// Purges kept one by one. An entry takes about 64 bytes: 2 MB for the objects.
+// Largest number of purges kept individually. An entry takes about 64 bytes: 2 MB for the objects.
 constexpr std::size_t kExactObjectPurges = 32'768;
-// The protocol has 256 groups; the bound only guards against a change log that names more.
+// The protocol has 256 groups; the limit only guards against a change stream that names more.
 constexpr std::size_t kExactGroupPurges = 1'024;
 
-// A set of keys that may name a key which was never added (0.7% of them with 360,000 keys), and never misses
-// one. Takes no memory while it is empty, 512 KB else.
+// A set of keys with false positives (0.7% of other keys when it holds 360,000) but no false negatives. It
+// takes no memory while it is empty, and 512 KB otherwise.
 class BloomFilter {
  public:
   void add(std::uint64_t key);
@@ -34,24 +34,24 @@
 
 class Invalidations {
  public:
-  // lifetime: after which every node has dropped the copies that a purge names, in seconds.
+  // lifetime: seconds after which every node has dropped the copies that a purge names.
   explicit Invalidations(Seconds lifetime) : lifetime_(lifetime) {}
 
-  // A purge that was issued `age` seconds before now. One older than the lifetime bounds nothing.
+  // Records a purge that was issued `age` seconds before now. One older than the lifetime is ignored.
   void object_purged(Seconds now, ObjectId object, Seconds age);
   void group_purged(Seconds now, GroupId group, Seconds age);
 
-  // When the latest purge that concerns the object, or may concern it, was issued.
+  // Time at which the latest purge was issued that applies to the object, or may apply to it.
   std::optional<Seconds> latest_purge(ObjectId object, GroupId group) const;
 
-  // Forgets what is older than the lifetime.
+  // Removes purges older than the lifetime.
   void expire(Seconds now);
 
   std::size_t exact_objects() const { return objects_.size(); }
   bool overflowed() const { return generations_[0].used || generations_[1].used; }
 
  private:
-  // Purges of one span of time, as one: all of them count as issued when the latest was.
+  // The purges of one span of time, combined: all of them count as issued at the time of the latest.
   struct Generation {
     bool used = false;
     Seconds opened_at = 0;
@@ -63,9 +63,9 @@
   void rotate(Seconds now);
 
   Seconds lifetime_;
-  std::map<std::uint64_t, Seconds> objects_;  // when the latest purge of each was issued
+  std::map<std::uint64_t, Seconds> objects_;  // time at which the latest purge of each was issued
   std::map<std::int64_t, Seconds> groups_;
-  std::array<Generation, 2> generations_;  // the one that takes new keys, and the one before it
+  std::array<Generation, 2> generations_;  // the one that receives new keys, and the one before it
 };
 
 }  // namespace hareramp::policy
--- a/src/policy/start_times.cpp
+++ b/src/policy/start_times.cpp
@@ -4,9 +4,9 @@
 
 namespace hareramp::policy {
 
-void StartTimes::list_starts(ListSource source, bool whole) {
-  at_start_ = source == ListSource::kKnownBeforeStart || (whole && !has_whole_list_);
-  has_whole_list_ = has_whole_list_ || whole;
+void StartTimes::list_starts(ListSource source, bool complete) {
+  is_initial_list_ = source == ListSource::kKnownBeforeStart || (complete && !has_complete_list_);
+  has_complete_list_ = has_complete_list_ || complete;
 }
 
 Seconds StartTimes::started(Seconds now, const NodeId& node, Seconds stamp) {
@@ -17,9 +17,10 @@
     entries_[node] = {};
     return 0;
   }
-  // Guards against clocks that differ: what is heard of while we run has just started, whatever its stamp
-  // says. It hurts a node that has run for long and is listed anew: it gets little at first.
-  const Seconds started = at_start_ ? std::min(stamp, now) : now;
+  // Guards against clocks that differ: a process that first appears while this director runs counts as just
+  // started, whatever its stamp. The cost, for a node that has run for a long time and is listed again: it
+  // receives little work at first.
+  const Seconds started = is_initial_list_ ? std::min(stamp, now) : now;
   entries_[node] = {stamp, started};
   return started;
 }
--- a/src/policy/start_times.hpp
+++ b/src/policy/start_times.hpp
@@ -1,7 +1,7 @@
-// Which moment counts as the start of a node: a decision module of its own, without clock or sockets. The
-// list tells starts as stamps of other machines' clocks. A stamp says that a process is another than before;
-// when that one started is taken from it only where nothing better is known. Memory is one entry a listed
-// node.
+// Determines the time from which a node counts as started. Independent of clock and sockets. The node list
+// reports starts as time stamps of other machines' clocks. A changed stamp shows that the node's process is a
+// new one; the start time itself is taken from the stamp only where nothing better is known. Memory is one
+// entry per listed node.
 #pragma once
 
 #include <map>
@@ -12,20 +12,20 @@
 namespace hareramp::policy {
 
 enum class ListSource {
-  kKnownBeforeStart,  // what the director was started with
+  kKnownBeforeStart,  // the list that the director was started with
   kChangeStream,
 };
 
 class StartTimes {
  public:
-  // Before the entries of a list or of a change of it.
-  void list_starts(ListSource source, bool whole);
+  // Called before the entries of a list, or of a change to it.
+  void list_starts(ListSource source, bool complete);
 
-  // When a node of that list counts as started, by the director's clock: seconds near Unix time, as `now` and
-  // the stamp are. A stamp of 0 or less is none; the result is 0 where nothing is known.
+  // Start time of a listed node by the director's clock, in seconds near Unix time like `now` and the stamp.
+  // A stamp of 0 or less means that there is none; the result is 0 where nothing is known.
   Seconds started(Seconds now, const NodeId& node, Seconds stamp);
 
-  // For a node that is gone: should it come back, it counts as just started.
+  // Called for a node that has left the list: should it return, it counts as just started.
   void forget(const NodeId& node) { entries_.erase(node); }
 
   std::size_t known() const { return entries_.size(); }
@@ -36,8 +36,8 @@
     Seconds started = 0;
   };
 
-  bool has_whole_list_ = false;
-  bool at_start_ = false;  // the list that is read tells of nodes which may have run for long
+  bool has_complete_list_ = false;
+  bool is_initial_list_ = false;  // whether the list being read may hold nodes that have run for a long time
   std::map<NodeId, Entry> entries_;
 };
 
