--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -98,13 +98,13 @@
                               request_class == 2);
   }
   // The attempt's end; its time is given, the clock moves by it.
-  void ends(const std::string& id, int number, Result result, AnswerDetail note = AnswerDetail::kNone,
-            Seconds spent = 0.01, bool over = false) {
+  void end_attempt(const std::string& id, int number, Result result, AnswerDetail note = AnswerDetail::kNone,
+                   Seconds spent = 0.01, bool over = false) {
     now += spent;
     director->attempt_ended(now, {id}, {number}, {node_of[id][number]}, result, note, spent / 4, spent, {},
                             over || result == Result::kCompleted);
   }
-  void after(Seconds pause) { now += pause; }
+  void advance(Seconds pause) { now += pause; }
   // Wakes whatever is due by then, in order.
   void run_until(Seconds then) {
     while (!timers.empty() && timers.begin()->first <= then) {
@@ -115,8 +115,8 @@
     }
     now = std::max(now, then);
   }
-  std::string taken() { return std::exchange(trace, ""); }
-  void say(const std::string& words) { trace += "-- " + words + "\n"; }
+  std::string take_trace() { return std::exchange(trace, ""); }
+  void annotate(const std::string& words) { trace += "-- " + words + "\n"; }
 
   void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
                Seconds time_out) override {
@@ -181,22 +181,22 @@
  public:
   TestConnection(transport::Scheduler& scheduler, transport::Socket socket)
       : scheduler_(scheduler), socket_(std::move(socket)) {}
-  void listen() { scheduler_.spawn(read(shared_from_this())); }
+  void start_reading() { scheduler_.spawn(read(shared_from_this())); }
   void send(std::string_view bytes) { CHECK(socket_.write_now(bytes).ok()); }
   std::size_t try_send(std::string_view bytes) { return socket_.write_now(bytes).bytes; }
   void reset() { socket_.abort(); }
   void finish() { socket_.finish(); }
   void close() { socket_.close(); }
-  bool has_received(const std::string& words) const { return heard.find(words) != std::string::npos; }
+  bool has_received(const std::string& words) const { return received.find(words) != std::string::npos; }
 
-  std::string heard;
+  std::string received;
   bool ended = false, up = true;
 
  private:
   static transport::Task<> read(std::shared_ptr<TestConnection> self) {
     transport::Buffer in(1 << 16);
     while ((co_await self->socket_.read(in, 1 << 16, transport::kNever)).ok()) {
-      self->heard += in.view();
+      self->received += in.view();
       in.consume(in.size());
     }
     self->ended = true;
@@ -218,11 +218,11 @@
   ~StandInServer() { listener_.close(); }
   bool has_connections(std::size_t count) const { return connections.size() >= count; }
   // What it heard on one connection, with the figures that differ from run to run left out.
-  std::string heard(std::size_t place = 0) const {
+  std::string received(std::size_t place = 0) const {
     if (place >= connections.size()) return "nothing\n";
     static const std::regex kVaries("ttl=[0-9]+");
     std::string text;
-    for (const char c : std::regex_replace(connections[place]->heard, kVaries, "ttl=N"))
+    for (const char c : std::regex_replace(connections[place]->received, kVaries, "ttl=N"))
       if (c != '\r') text += c;
     return text;
   }
@@ -240,7 +240,7 @@
       if (accepted.end != transport::Listener::End::kTaken) co_return;
       self.connections.push_back(
           std::make_shared<TestConnection>(self.scheduler_, std::move(accepted.socket)));
-      if (self.reads_) self.connections.back()->listen();
+      if (self.reads_) self.connections.back()->start_reading();
     }
   }
   transport::Scheduler& scheduler_;
@@ -256,7 +256,7 @@
     auto connected = co_await transport::connect(s, at, transport::Scheduler::now() + 5);
     made = std::make_shared<TestConnection>(s, std::move(connected.socket));
     made->up = connected.end == transport::ConnectEnd::kUp;
-    if (read) made->listen();
+    if (read) made->start_reading();
   };
   scheduler.spawn(go(scheduler, to, reads, end));
   REQUIRE(run_until(scheduler, [&] { return end != nullptr; }));
--- a/tests/policy/cache_group_test.cpp
+++ b/tests/policy/cache_group_test.cpp
@@ -42,7 +42,7 @@
     fixture.request(id, static_cast<std::uint64_t>(object), 0, 1);
     asked.caches.insert(fixture.node_of[id][0]);
     asked.parents.push_back(fixture.source_of[id]);
-    fixture.ends(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.001);
+    fixture.end_attempt(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.001);
   }
   return asked;
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -311,7 +311,7 @@
 
 TEST_CASE("slow start: a director that restarts does not send its share again") {
   DirectorFixture fixture;
-  fixture.after(1);
+  fixture.advance(1);
   fixture.list(ListCompleteness::kCached, "c1 P1 O");
   const Seconds launched = fixture.now;
   fixture.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, launched);
@@ -323,9 +323,9 @@
       fixture.request(id, static_cast<std::uint64_t>(request));
       for (std::size_t n = 0; n < fixture.node_of[id].size(); ++n) {
         calls += fixture.node_of[id][n] == "c1";
-        fixture.ends(id, static_cast<int>(n), Result::kCompleted, AnswerDetail::kHit, 0.02);
+        fixture.end_attempt(id, static_cast<int>(n), Result::kCompleted, AnswerDetail::kHit, 0.02);
       }
-      fixture.after(0.01);
+      fixture.advance(0.01);
     }
     return calls;
   };
@@ -339,7 +339,7 @@
   fixture.director = std::make_unique<Director>(fixture.now, DirectorFixture::usual_settings(), 9, fixture);
   fixture.list(ListCompleteness::kFull, "c1", EndpointState::kRunning, launched);
   fixture.list(ListCompleteness::kChanges, "P1 O");
-  fixture.after(0.3);
+  fixture.advance(0.3);
   fixture.list(ListCompleteness::kChanges, "c1", EndpointState::kRunning, fixture.now);
   CHECK(calls_within(1) > 0);
 }
@@ -348,11 +348,11 @@
   for (const bool after_the_director : {false, true}) {
     CAPTURE(after_the_director);
     DirectorFixture fixture;
-    fixture.after(10);
+    fixture.advance(10);
     const Seconds began = fixture.now;
     fixture.director = std::make_unique<Director>(began, DirectorFixture::usual_settings(), 8, fixture);
     fixture.list(ListCompleteness::kFull, "P1 O");
-    fixture.after(0.5);
+    fixture.advance(0.5);
     // The ramp counts from when the start was heard of; whether the share may be spent, by the list's stamp.
     const Seconds stamped = after_the_director ? began + 0.1 : began - 1;
     fixture.director->list_starts(fixture.now, ListCompleteness::kChanges);
--- a/tests/program/program_test.cpp
+++ b/tests/program/program_test.cpp
@@ -130,8 +130,8 @@
   origin.connections[0]->send("0000000000000001 ACK - 3\r\none\r\n");
   REQUIRE(run_until(scheduler, [&] { return process.ended(); }));
   CHECK(process.status() == 0);
-  CHECK(one->heard.ends_with("one"));
-  CHECK(two->heard.ends_with("two"));
+  CHECK(one->received.ends_with("one"));
+  CHECK(two->received.ends_with("two"));
   CHECK(process.printed().find("counters taken=2 completed=2 bounced=0 forfeited=0 left=0 open=0") !=
         std::string::npos);
 }
@@ -161,7 +161,7 @@
   REQUIRE(run_until(scheduler, [&] { return other.has_received("Last-Event-ID: 3"); }));
   prints("changed only by a restart: limits");
   origin.connections[0]->send("0000000000000001 ACK - 3\r\none\r\n");
-  REQUIRE(run_until(scheduler, [&] { return client->heard.ends_with("one"); }));
+  REQUIRE(run_until(scheduler, [&] { return client->received.ends_with("one"); }));
   process.send(SIGUSR1);
   prints("reloads=1 reloads_failed=1");
   process.send(SIGTERM);
@@ -190,7 +190,7 @@
   later->send(put("0000000000000002"));
   REQUIRE(run_until(scheduler, [&] { return origin.has_received("serve 0000000000000002"); }));
   origin.connections.back()->send("0000000000000002 ACK - 2\r\nok\r\n");
-  REQUIRE(run_until(scheduler, [&] { return later->heard.ends_with("ok"); }));
+  REQUIRE(run_until(scheduler, [&] { return later->received.ends_with("ok"); }));
   CHECK_FALSE(process.ended());
 }
 
--- a/tests/program/shutdown_test.cpp
+++ b/tests/program/shutdown_test.cpp
@@ -203,8 +203,8 @@
   CHECK(Scheduler::now() - start < kBound);
   CHECK(site.process.status() == 0);
   CHECK(next < kFirstOfDeaf + kOfDeaf);
-  for (const auto& client : reads) CHECK(client->heard.starts_with("HTTP/1.1 503"));
-  for (const auto& client : writes) CHECK(client->heard.starts_with("HTTP/1.1 500"));
+  for (const auto& client : reads) CHECK(client->received.starts_with("HTTP/1.1 503"));
+  for (const auto& client : writes) CHECK(client->received.starts_with("HTTP/1.1 500"));
 }
 
 TEST_CASE("SIGTERM under load with deadlines of 0.4 s: all that were taken are answered, then the end") {
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -126,7 +126,7 @@
     close();
   }
   // Takes what has come.
-  const std::string& heard() {
+  const std::string& received() {
     std::array<char, 1 << 16> room;
     for (;;) {
       const ssize_t count = ::recv(descriptor_, room.data(), room.size(), MSG_DONTWAIT);
@@ -142,11 +142,11 @@
     }
   }
   bool ended() {
-    heard();
+    received();
     return ended_;
   }
   bool was_reset() {
-    heard();
+    received();
     return was_reset_;
   }
 
@@ -208,7 +208,8 @@
     const std::string mark = "serve " + id;
     for (const StandInServer* node : {&cache, &parent, &origin})
       for (const auto& end : node->connections)
-        for (auto at = end->heard.find(mark); at != std::string::npos; at = end->heard.find(mark, at + 1))
+        for (auto at = end->received.find(mark); at != std::string::npos;
+             at = end->received.find(mark, at + 1))
           ++count;
     return count;
   }
@@ -406,7 +407,7 @@
 // The client got this status and then the end of the connection, and was not reset.
 void check_answered_and_ended(TestDirector& director, PlainClient& client, const std::string& status) {
   director.until([&] { return client.ended() || client.was_reset(); });
-  CHECK(client.heard().starts_with("HTTP/1.1 " + status));
+  CHECK(client.received().starts_with("HTTP/1.1 " + status));
   CHECK_FALSE(client.was_reset());
 }
 
@@ -452,10 +453,10 @@
   director.front->close();
   director.until_attempts(kId1, 1);
   director.nodes_answer(kId1, "ACK - 2\r\nok");
-  director.until([&] { return asks.heard().ends_with("ok"); });
+  director.until([&] { return asks.received().ends_with("ok"); });
   director.front->close();
   director.until([&] { return asks.ended() && idle.ended(); });
-  CHECK(idle.heard().empty());
+  CHECK(idle.received().empty());
   CHECK_FALSE(idle.was_reset());
 }
 
@@ -476,7 +477,7 @@
     TestDirector director([](Limits& limits) { limits.client_idle_timeout = 0.2; });
     PlainClient client(director.front->address());
     client.send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
-    director.until([&] { return client.heard().ends_with("ok\n"); });
+    director.until([&] { return client.received().ends_with("ok\n"); });
     const Seconds answered = Scheduler::now();
     // One turn goes past the time-out; in the next the request comes before it, after the sockets were heard.
     director.scheduler.at(answered + 0.1, [] { usleep(200000); });
@@ -522,9 +523,10 @@
     client.send(requests);
     director.until([&] { return director.failures > 0; });
     director.nodes_answer(kId1, "ACK - 3\r\none");
-    director.until([&] { return client.heard().ends_with("one") || client.ended() || client.was_reset(); });
+    director.until(
+        [&] { return client.received().ends_with("one") || client.ended() || client.was_reset(); });
   }
-  CHECK(client.heard().ends_with("one"));
+  CHECK(client.received().ends_with("one"));
   director.until_attempts("0000000000001000", 1);
 }
 
@@ -615,7 +617,7 @@
   CHECK(idle.ended());
   CHECK_FALSE(busy.ended());
   director.nodes_answer(kId1, "ACK - 3\r\none");
-  director.until([&] { return busy.heard().ends_with("one"); });
+  director.until([&] { return busy.received().ends_with("one"); });
 }
 
 TEST_CASE("a request that crosses the search for room, unread, is served") {
@@ -626,7 +628,7 @@
     for (int i = 0; i < 3; ++i) {
       clients.emplace_back(director.front->address());
       clients.back().send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
-      director.until([&] { return clients.back().heard().ends_with("ok\n"); });
+      director.until([&] { return clients.back().received().ends_with("ok\n"); });
     }
     PlainClient& asks = clients.back();
     // The second failure closes the first client, the fourth the second one; the sixth comes 32 ms after the
--- a/tests/routing/io_failures_test.cpp
+++ b/tests/routing/io_failures_test.cpp
@@ -60,7 +60,7 @@
     injected = {.port = desk.node.address.port(), .writes = bytes};
     desk.attempt("p1", "body");
     CHECK(desk.until(
-        [&] { return desk.node.has_connections(1) && desk.node.connections[0]->heard.size() >= bytes; }));
+        [&] { return desk.node.has_connections(1) && desk.node.connections[0]->received.size() >= bytes; }));
     injected.read_error = error;
     desk.node.connections[0]->send("p");
     CHECK(desk.until([&] { return injected.port == 0; }));
@@ -134,7 +134,7 @@
     desk.attempt("p2");
     CHECK(desk.until(
         [&] { return desk.node.has_received("serve p2") && desk.node.has_received(" 0\r\n\r\n"); }));
-    CHECK(desk.node.heard() ==
+    CHECK(desk.node.received() ==
           "serve p1 lane=segment,name=p1,ttl=N 4\nbody\nserve p2 lane=segment,name=p2,ttl=N 0\n\n");
     desk.node.connections[0]->send("p2 ACK sum=t 2\r\nok\r\np1 NOENT why=absent 0\r\n\r\n");
     CHECK(desk.until([&] { return desk.results.size() == 2; }));
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -107,13 +107,13 @@
     fixture.request(request, 7, request_class);
     for (int number = 0; number < 7; ++number) {
       REQUIRE(fixture.node_of[request].size() == static_cast<std::size_t>(number) + 1);
-      fixture.ends(request, number, Result::kLocalFailure, AnswerDetail::kNone, 0);
+      fixture.end_attempt(request, number, Result::kLocalFailure, AnswerDetail::kNone, 0);
       CHECK(fixture.node_of[request].size() == static_cast<std::size_t>(number) + 1);
       fixture.run_until(fixture.now + 0.02 * (1 << number) + 0.001);
     }
-    fixture.taken();
-    fixture.ends(request, 7, Result::kLocalFailure, AnswerDetail::kNone, 0);
-    CHECK(fixture.taken().find(request + ": bounce") != std::string::npos);
+    fixture.take_trace();
+    fixture.end_attempt(request, 7, Result::kLocalFailure, AnswerDetail::kNone, 0);
+    CHECK(fixture.take_trace().find(request + ": bounce") != std::string::npos);
     for (const std::string& node : fixture.node_of[request]) CHECK(node == "c1");
   }
   fixture.request("next", 7);
--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -70,11 +70,11 @@
   void until(const std::function<bool()>& holds) { CHECK(run_until(scheduler, holds)); }
   void hears(StandInServer& node, const std::string& words) {
     CHECK_MESSAGE(run_until(scheduler, [&] { return node.has_received(words); }),
-                  words << " in " << node.heard());
+                  words << " in " << node.received());
   }
   void hears(TestConnection& end, const std::string& words) {
     CHECK_MESSAGE(run_until(scheduler, [&] { return end.has_received(words); }),
-                  words << " in " << end.heard);
+                  words << " in " << end.received);
   }
   // The sums agree at any moment.
   void check_sums() const {
@@ -119,15 +119,15 @@
   site.hears(site.origin, "serve " + kId3);
   site.origin.connections[0]->send(kId3 + " ACK sum=1,t0=1 2\r\nok\r\n");
   site.hears(*client, "\r\n\r\nok");
-  trace += "-- the cache heard\n" + site.cache.heard() + "-- the origin heard\n" + site.origin.heard();
-  trace += "-- the client heard\n" + Site::text(client->heard);
+  trace += "-- the cache heard\n" + site.cache.received() + "-- the origin heard\n" + site.origin.received();
+  trace += "-- the client heard\n" + Site::text(client->received);
 
   const auto other = site.client();
   other->send(Site::put("00000000000000aa", "Content-Length: 2\r\n\r\nab"));
   site.hears(site.origin, "serve 00000000000000aa");
   site.origin.connections[0]->reset();
   site.hears(*other, "500");
-  trace += "-- a binding request that may have run: no promise\n" + Site::text(other->heard);
+  trace += "-- a binding request that may have run: no promise\n" + Site::text(other->received);
   const auto third = site.client();
   third->send(Site::get("00000000000000bb", "/invoke/video/7f/block-3"));
   for (int number = 0; number < 6 && !third->has_received("503"); ++number) {
@@ -136,7 +136,8 @@
       std::size_t found = 0;
       for (const StandInServer* node : {&site.cache, &site.parent, &site.origin})
         for (const auto& end : node->connections)
-          for (auto at = end->heard.find(mark); at != std::string::npos; at = end->heard.find(mark, at + 1))
+          for (auto at = end->received.find(mark); at != std::string::npos;
+               at = end->received.find(mark, at + 1))
             ++found;
       return static_cast<int>(found);
     };
@@ -179,7 +180,7 @@
   site.until([&] { return site.counters.completed == 3; });
   client->send("GET /_health HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n");
   site.until([&] { return client->ended; });
-  check_trace("request_pieces", Site::text(client->heard));
+  check_trace("request_pieces", Site::text(client->received));
 }
 
 TEST_CASE("requests that are no requests get a plain answer, and the module never hears of them") {
@@ -216,7 +217,7 @@
     if (text.ends_with("cut")) client->finish();
     site.until([&] { return client->ended || client->has_received("\r\n\r\n"); });
     trace += text.substr(0, text.find(" HTTP/1.1\r\n")).substr(0, 40) + " -> " +
-             client->heard.substr(0, client->heard.find('\r')) + "\n";
+             client->received.substr(0, client->received.find('\r')) + "\n";
   }
   CHECK(site.counters.taken == 0);
   CHECK(site.cache.connections.empty());
@@ -307,7 +308,7 @@
   const auto silent = site.client(), half = site.client();
   half->send("GET /invoke/vi");
   site.until([&] { return silent->ended && half->ended; });
-  CHECK(silent->heard.empty());
+  CHECK(silent->received.empty());
   CHECK(half->has_received("HTTP/1.1 408"));
   CHECK_FALSE(good->ended);
 }
@@ -322,7 +323,7 @@
     sent += client->try_send(piece);
     return sent >= 60000000;
   });
-  CHECK(client->heard.starts_with("HTTP/1.1 413"));
+  CHECK(client->received.starts_with("HTTP/1.1 413"));
   CHECK(site.counters.taken == 0);
 }
 
@@ -415,7 +416,7 @@
 TEST_CASE("the change log: followed from what is known, resumed after a cut") {
   Followed site;
   site.asked(0, 4);
-  CHECK(site.changes.heard() ==
+  CHECK(site.changes.received() ==
         "GET /changes HTTP/1.1\nHost: log\nAccept: text/event-stream\nLast-Event-ID: 4\n\n");
   site.says(0, "5", R"({"seq":5,"invalidate":{"bucket":17,"time":1}})", true);
   site.says(0, "4", R"({"seq":4,"invalidate":{"bucket":17,"time":1}})");  // told before
--- a/tests/routing/shutdown_test.cpp
+++ b/tests/routing/shutdown_test.cpp
@@ -39,7 +39,7 @@
   }
   void hears(const TestConnection& end, const std::string& words) {
     CHECK_MESSAGE(run_until(scheduler, [&] { return end.has_received(words); }),
-                  words << " in " << end.heard);
+                  words << " in " << end.received);
   }
 
   Scheduler scheduler;
--- a/tests/routing/upstream_node_test.cpp
+++ b/tests/routing/upstream_node_test.cpp
@@ -108,7 +108,7 @@
   pair.desk.until(3);
   pair.desk.say("heard");
   CHECK(pair.node.connections.size() == 1);
-  check_trace("peer_order", pair.desk.trace + pair.node.heard());
+  check_trace("peer_order", pair.desk.trace + pair.node.received());
 }
 
 TEST_CASE("no connection: it never ran") {
@@ -251,7 +251,7 @@
   pair.desk.limits.send_start_timeout = -1;
   pair.desk.attempt("late");
   pair.desk.until(4);
-  pair.node.connections[1]->listen();
+  pair.node.connections[1]->start_reading();
   pair.until_heard("serve large", 1);
   pair.node.connections[1]->send("large ACK - 2\r\nok\r\n");
   pair.desk.until(5);
@@ -270,9 +270,9 @@
   pair.node.connections[1]->send("p2 ACK - 0\r\n\r\n");
   pair.desk.until(2);
   pair.desk.say("heard on the first");
-  pair.desk.trace += pair.node.heard(0);
+  pair.desk.trace += pair.node.received(0);
   pair.desk.say("heard on the second");
-  check_trace("peer_silent", pair.desk.trace + pair.node.heard(1));
+  check_trace("peer_silent", pair.desk.trace + pair.node.received(1));
 }
 
 TEST_CASE("a late answer to what was called off does no harm") {
@@ -370,12 +370,12 @@
                        std::vector<std::shared_ptr<TestConnection>>& taken) -> transport::Task<> {
     while (taken.size() < 2) {
       taken.push_back(std::make_shared<TestConnection>(scheduler, (co_await listener.accept()).socket));
-      taken.back()->listen();
+      taken.back()->start_reading();
     }
   };
   desk.scheduler.spawn(take(desk.scheduler, full, ends));
   CHECK(run_until(desk.scheduler, [&] { return ends.size() == 2 && ends[1]->has_received("serve p1"); }));
-  CHECK(told(ends.at(1)->heard, "p1").time_left <= give_up_at - free_at);
+  CHECK(told(ends.at(1)->received, "p1").time_left <= give_up_at - free_at);
 }
 
 TEST_CASE(
@@ -393,9 +393,9 @@
   left->client_gone = true;
   pair.desk.oldest = 0.5;  // a purge has come
   const Seconds reads_at = Scheduler::now();
-  pair.node.connections[0]->listen();
+  pair.node.connections[0]->start_reading();
   pair.until_heard("serve strict");
-  const std::string& heard = pair.node.connections[0]->heard;
+  const std::string& heard = pair.node.connections[0]->received;
   for (const char* request : {"any", "fresh", "strict"})
     CHECK(told(heard, request).time_left <= give_up_at - reads_at);
   CHECK(told(heard, "any").max_copy_age == "500");
@@ -421,11 +421,11 @@
   const Seconds broke_at = Scheduler::now();
   pair.node.connections[0]->reset();
   REQUIRE(run_until(pair.desk.scheduler, [&] { return pair.node.has_connections(2); }));
-  pair.node.connections[1]->listen();
+  pair.node.connections[1]->start_reading();
   pair.until_heard("serve small", 1);
   for (const char* request : {"large", "small"}) {
-    CHECK(told(pair.node.connections[1]->heard, request).time_left <= give_up_at - broke_at);
-    CHECK(told(pair.node.connections[1]->heard, request).max_copy_age == "500");
+    CHECK(told(pair.node.connections[1]->received, request).time_left <= give_up_at - broke_at);
+    CHECK(told(pair.node.connections[1]->received, request).max_copy_age == "500");
   }
   CHECK(pair.desk.counters.moved_on == 2);
   CHECK(pair.desk.ends == 0);
--- a/tests/transport/transport_test.cpp
+++ b/tests/transport/transport_test.cpp
@@ -132,11 +132,11 @@
   StandInServer server(scheduler), deaf(scheduler, false);
   const auto client = dial(scheduler, server.address);
   client->send("hello");
-  REQUIRE(run_until(scheduler, [&] { return server.heard() == "hello"; }));
+  REQUIRE(run_until(scheduler, [&] { return server.received() == "hello"; }));
   server.connections[0]->send("bye");
   server.connections[0]->close();
   REQUIRE(run_until(scheduler, [&] { return client->ended; }));
-  CHECK(client->heard == "bye");
+  CHECK(client->received == "bye");
 
   std::string trace;
   const auto try_out = [](Scheduler& s, Address refusing, Address full, std::string& told) -> Task<> {
--- a/tests/wall_clock/wall_clock_test.cpp
+++ b/tests/wall_clock/wall_clock_test.cpp
@@ -71,7 +71,7 @@
   }
   void hears(StandInServer& node, const std::string& words) {
     CHECK_MESSAGE(run_until(scheduler, [&] { return node.has_received(words); }),
-                  words << " in " << node.heard());
+                  words << " in " << node.received());
   }
 
   Scheduler scheduler;
@@ -86,7 +86,7 @@
 
 // The line of an attempt as a node heard it.
 std::string line_of(const StandInServer& node, int number) {
-  const std::string heard = node.heard();
+  const std::string heard = node.received();
   const auto at = heard.find("serve " + Site::id_of(number));
   return at == std::string::npos ? "" : heard.substr(at, heard.find('\n', at) - at);
 }
@@ -94,7 +94,8 @@
 std::size_t attempts_at(const StandInServer& node) {
   std::size_t found = 0;
   for (const auto& end : node.connections)
-    for (auto at = end->heard.find("serve "); at != std::string::npos; at = end->heard.find("serve ", at + 1))
+    for (auto at = end->received.find("serve "); at != std::string::npos;
+         at = end->received.find("serve ", at + 1))
       ++found;
   return found;
 }
@@ -154,10 +155,11 @@
     for (StandInServer* node : {&site.cache, &site.origin}) {
       for (const auto& end : node->connections) {
         std::size_t& from = read_to[end.get()];
-        for (auto at = end->heard.find("serve ", from);
-             at != std::string::npos && at + 22 <= end->heard.size(); at = end->heard.find("serve ", from)) {
+        for (auto at = end->received.find("serve ", from);
+             at != std::string::npos && at + 22 <= end->received.size();
+             at = end->received.find("serve ", from)) {
           from = at + 22;
-          end->send(end->heard.substr(at + 6, 16) + " ACK sum=4be0,t0=1,why=mem 2\r\nok\r\n");
+          end->send(end->received.substr(at + 6, 16) + " ACK sum=4be0,t0=1,why=mem 2\r\nok\r\n");
         }
       }
     }
@@ -177,8 +179,8 @@
   CHECK(run_until(site.scheduler, [&] {
     return std::all_of(clients.begin(), clients.end(), [](const auto& client) {
       std::size_t answers = 0;
-      for (auto at = client->heard.find("HTTP/1.1 200"); at != std::string::npos;
-           at = client->heard.find("HTTP/1.1 200", at + 1))
+      for (auto at = client->received.find("HTTP/1.1 200"); at != std::string::npos;
+           at = client->received.find("HTTP/1.1 200", at + 1))
         ++answers;
       return answers == kRounds;
     });
