--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -1,5 +1,5 @@
-// What the tests share: a director whose decisions are written down in plain words, the kept traces, and
-// stand-ins on loopback for whoever a director talks to.
+// Shared by the tests: a director whose decisions are recorded as text, the kept traces, and stand-ins on
+// loopback for the peers of a director.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -23,8 +23,8 @@
 
 namespace hareramp {
 
-// A director in a small world: caches c1 to c4 in zone 2 (c4's cell differs), r1 in zone 3, parents P1 to P3
-// in zones 0 and 1, one origin O. A transfer runs at 1000 KB/s.
+// A director in a small fleet: caches c1 to c4 in zone 2 (c4 in a different cell), r1 in zone 3, parents P1
+// to P3 in zones 0 and 1, and one origin O. A transfer runs at 1000 KB/s.
 class DirectorFixture : public Actions {
  public:
   DirectorFixture(const DirectorFixture&) = delete;
@@ -71,12 +71,12 @@
     return settings;
   }
 
-  // Lists nodes as "c1 c2 P1 O"; the state and start time are the same for all of them.
-  void list(ListCompleteness scope, const std::string& names,
-            EndpointState endpoint_state = EndpointState::kRunning, Seconds launched = 0) {
-    director->list_starts(now, scope);
-    std::istringstream words(names);
-    for (std::string name; words >> name;) {
+  // Lists nodes given as "c1 c2 P1 O"; the state and start time are the same for all of them.
+  void list(ListCompleteness completeness, const std::string& names,
+            EndpointState endpoint_state = EndpointState::kRunning, Seconds started_at = 0) {
+    director->list_starts(now, completeness);
+    std::istringstream stream(names);
+    for (std::string name; stream >> name;) {
       const bool parent = name[0] == 'P', origin = name[0] == 'O';
       const int zone = name == "P2" || origin ? 1 : parent ? 0 : name[0] == 'r' ? 3 : 2;
       director->list_entry(now, {name}, {zone},
@@ -87,7 +87,7 @@
                            origin   ? 1
                            : parent ? 20
                                     : 6,
-                           launched);
+                           started_at);
     }
     director->list_ends(now);
   }
@@ -97,15 +97,16 @@
                               {static_cast<std::int64_t>(object % 8)}, now + 5, size_kb, false,
                               request_class == 2);
   }
-  // The attempt's end; its time is given, the clock moves by it.
-  void end_attempt(const std::string& id, int number, Result result, AnswerDetail note = AnswerDetail::kNone,
-                   Seconds spent = 0.01, bool over = false) {
-    now += spent;
-    director->attempt_ended(now, {id}, {number}, {node_of[id][number]}, result, note, spent / 4, spent, {},
-                            over || result == Result::kCompleted);
+  // Ends an attempt after `elapsed` seconds, by which the clock advances.
+  void end_attempt(const std::string& id, int number, Result result,
+                   AnswerDetail detail = AnswerDetail::kNone, Seconds elapsed = 0.01,
+                   bool request_over = false) {
+    now += elapsed;
+    director->attempt_ended(now, {id}, {number}, {node_of[id][number]}, result, detail, elapsed / 4, elapsed,
+                            {}, request_over || result == Result::kCompleted);
   }
   void advance(Seconds pause) { now += pause; }
-  // Wakes whatever is due by then, in order.
+  // Fires the timers that are due by then, in order.
   void run_until(Seconds then) {
     while (!timers.empty() && timers.begin()->first <= then) {
       const auto [at, token] = *timers.begin();
@@ -116,33 +117,33 @@
     now = std::max(now, then);
   }
   std::string take_trace() { return std::exchange(trace, ""); }
-  void annotate(const std::string& words) { trace += "-- " + words + "\n"; }
+  void annotate(const std::string& comment) { trace += "-- " + comment + "\n"; }
 
   void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
-               Seconds time_out) override {
+               Seconds timeout) override {
     node_of[request.value].push_back(node.value);
     source_of[request.value] = fill.source.value, cached_only_of[request.value] = fill.cached_only;
     std::string line = request.value + ": attempt to " + node.value;
     line += fill.source == node ? ", no fill" : ", fill from " + fill.source.value;
     line += ", rank " + std::to_string(fill.rank);
     if (fill.max_copy_age > 0) line += ", at most " + text(fill.max_copy_age) + " s old";
-    if (fill.cached_only) line += ", held only";
+    if (fill.cached_only) line += ", cached only";
     if (fill.join) line += ", may join";
-    if (fill.background_refresh) line += ", renew";
-    if (time_out > 0) line += ", time-out " + text(time_out) + " s";
-    note(line);
+    if (fill.background_refresh) line += ", background refresh";
+    if (timeout > 0) line += ", time-out " + text(timeout) + " s";
+    append_line(line);
   }
   void cancel(const RequestId& request, AttemptNumber number) override {
-    note(request.value + ": cancel attempt " + std::to_string(number.value));
+    append_line(request.value + ": cancel attempt " + std::to_string(number.value));
   }
   void reject(const RequestId& request, Seconds retry_after) override {
-    note(request.value + ": bounce" + (retry_after > 0 ? ", come back" : ""));
+    append_line(request.value + ": reject" + (retry_after > 0 ? ", Retry-After" : ""));
   }
-  void fail(const RequestId& request) override { note(request.value + ": forfeit"); }
+  void fail(const RequestId& request) override { append_line(request.value + ": fail"); }
   void set_timer(Seconds at, const TimerToken& token) override { timers.emplace(at, token); }
-  void probe(const NodeId& node) override { note("probe " + node.value); }
-  void watch_list() override { note("follow the list"); }
-  void log(const std::string& words) override { note("log: " + words); }
+  void probe(const NodeId& node) override { append_line("probe " + node.value); }
+  void watch_list() override { append_line("watch the list"); }
+  void log(const std::string& message) override { append_line("log: " + message); }
 
   static std::string text(double value) {
     char buffer[32];
@@ -159,24 +160,27 @@
   std::string trace;
 
  private:
-  void note(const std::string& line) { trace += text(now) + " " + line + "\n"; }
+  void append_line(const std::string& line) { trace += text(now) + " " + line + "\n"; }
 };
 
-// Runs the loop until something holds; false if it never does. The time only bounds a test that fails.
-inline bool run_until(transport::Scheduler& scheduler, const std::function<bool()>& holds) {
+// Runs the scheduler until the condition holds; returns false if it does not within the time limit, which
+// only bounds a failing test.
+inline bool run_until(transport::Scheduler& scheduler, const std::function<bool()>& condition) {
   using transport::Scheduler;
-  bool held = false;
-  const auto watch = [](Scheduler& s, const std::function<bool()>& wanted, bool& seen) -> transport::Task<> {
-    const Seconds most = Scheduler::now() + 20;
-    while (!(seen = wanted()) && Scheduler::now() < most) co_await s.sleep_until(Scheduler::now() + 0.001);
-    s.stop();
+  bool reached = false;
+  const auto watch = [](Scheduler& loop, const std::function<bool()>& stop_condition,
+                        bool& stopped) -> transport::Task<> {
+    const Seconds give_up_at = Scheduler::now() + 20;
+    while (!(stopped = stop_condition()) && Scheduler::now() < give_up_at)
+      co_await loop.sleep_until(Scheduler::now() + 0.001);
+    loop.stop();
   };
-  scheduler.spawn(watch(scheduler, holds, held));
+  scheduler.spawn(watch(scheduler, condition, reached));
   scheduler.run();
-  return held;
+  return reached;
 }
 
-// One end of a connection, for a test to talk through.
+// One end of a connection, driven by a test.
 class TestConnection : public std::enable_shared_from_this<TestConnection> {
  public:
   TestConnection(transport::Scheduler& scheduler, transport::Socket socket)
@@ -187,7 +191,7 @@
   void reset() { socket_.abort(); }
   void finish() { socket_.finish(); }
   void close() { socket_.close(); }
-  bool has_received(const std::string& words) const { return received.find(words) != std::string::npos; }
+  bool has_received(const std::string& text) const { return received.find(text) != std::string::npos; }
 
   std::string received;
   bool ended = false, up = true;
@@ -205,7 +209,8 @@
   transport::Socket socket_;
 };
 
-// A server that does only what the test says: a node, the change log, or one that never reads.
+// A server that does only what the test tells it to do: a node, the change stream, or a server that never
+// reads.
 class StandInServer {
  public:
   explicit StandInServer(transport::Scheduler& scheduler, bool reads = true)
@@ -213,28 +218,28 @@
         reads_(reads),
         listener_(scheduler, *transport::Address::parse("127.0.0.1:0"), 64) {
     address = listener_.address();
-    scheduler.spawn(take(*this));
+    scheduler.spawn(accept_connections(*this));
   }
   ~StandInServer() { listener_.close(); }
   bool has_connections(std::size_t count) const { return connections.size() >= count; }
-  // What it heard on one connection, with the figures that differ from run to run left out.
-  std::string received(std::size_t place = 0) const {
-    if (place >= connections.size()) return "nothing\n";
+  // What the server received on one connection, with values that differ from run to run replaced.
+  std::string received(std::size_t index = 0) const {
+    if (index >= connections.size()) return "nothing\n";
     static const std::regex kVaries("ttl=[0-9]+");
     std::string text;
-    for (const char c : std::regex_replace(connections[place]->received, kVaries, "ttl=N"))
+    for (const char c : std::regex_replace(connections[index]->received, kVaries, "ttl=N"))
       if (c != '\r') text += c;
     return text;
   }
-  bool has_received(const std::string& words, std::size_t place = 0) const {
-    return place < connections.size() && connections[place]->has_received(words);
+  bool has_received(const std::string& text, std::size_t index = 0) const {
+    return index < connections.size() && connections[index]->has_received(text);
   }
 
   transport::Address address;
   std::vector<std::shared_ptr<TestConnection>> connections;
 
  private:
-  static transport::Task<> take(StandInServer& self) {
+  static transport::Task<> accept_connections(StandInServer& self) {
     for (;;) {
       auto accepted = co_await self.listener_.accept();
       if (accepted.end != transport::Listener::End::kTaken) co_return;
@@ -248,22 +253,23 @@
   transport::Listener listener_;
 };
 
-inline std::shared_ptr<TestConnection> dial(transport::Scheduler& scheduler, transport::Address to,
+// Opens a connection to the address; `up` of the result tells whether it was established.
+inline std::shared_ptr<TestConnection> dial(transport::Scheduler& scheduler, transport::Address address,
                                             bool reads = true) {
-  std::shared_ptr<TestConnection> end;
-  const auto go = [](transport::Scheduler& s, transport::Address at, bool read,
-                     std::shared_ptr<TestConnection>& made) -> transport::Task<> {
-    auto connected = co_await transport::connect(s, at, transport::Scheduler::now() + 5);
-    made = std::make_shared<TestConnection>(s, std::move(connected.socket));
-    made->up = connected.end == transport::ConnectEnd::kUp;
-    if (read) made->start_reading();
+  std::shared_ptr<TestConnection> connection;
+  const auto connect_task = [](transport::Scheduler& loop, transport::Address peer, bool starts_reading,
+                               std::shared_ptr<TestConnection>& result) -> transport::Task<> {
+    auto connected = co_await transport::connect(loop, peer, transport::Scheduler::now() + 5);
+    result = std::make_shared<TestConnection>(loop, std::move(connected.socket));
+    result->up = connected.end == transport::ConnectEnd::kUp;
+    if (starts_reading) result->start_reading();
   };
-  scheduler.spawn(go(scheduler, to, reads, end));
-  REQUIRE(run_until(scheduler, [&] { return end != nullptr; }));
-  return end;
+  scheduler.spawn(connect_task(scheduler, address, reads, connection));
+  REQUIRE(run_until(scheduler, [&] { return connection != nullptr; }));
+  return connection;
 }
 
-// An address at which nobody listens.
+// An address without a listener.
 inline transport::Address unused_address(transport::Scheduler& scheduler, const char* at = "127.0.0.1:0") {
   return transport::Listener(scheduler, *transport::Address::parse(at), 1).address();
 }
--- a/tests/policy/cache_group_test.cpp
+++ b/tests/policy/cache_group_test.cpp
@@ -1,4 +1,4 @@
-// The groups into which a zone's caches fall where it has many times the usual number.
+// The groups into which a zone's caches are divided where the zone has many times the usual number.
 #include "policy/cache_group.hpp"
 
 #include <random>
@@ -27,30 +27,30 @@
   return names;
 }
 
-struct Asked {
+struct UsedNodes {
   std::set<std::string> caches;
-  std::vector<std::string> parents;  // by request
+  std::vector<std::string> parents;  // in the order of the requests
 };
 
-// A director before so many caches of its own zone, and whom it asks for 2,000 objects.
-Asked asked_of(int caches) {
+// The nodes that a director uses for 2,000 objects, with that many caches in its own zone.
+UsedNodes used_nodes(int caches) {
   DirectorFixture fixture;
   fixture.list(ListCompleteness::kFull, cache_names(caches) + "P1 P2 P3 O");
-  Asked asked;
+  UsedNodes used;
   for (int object = 0; object < 2000; ++object) {
     const std::string id = "r" + std::to_string(object);
     fixture.request(id, static_cast<std::uint64_t>(object), 0, 1);
-    asked.caches.insert(fixture.node_of[id][0]);
-    asked.parents.push_back(fixture.source_of[id]);
+    used.caches.insert(fixture.node_of[id][0]);
+    used.parents.push_back(fixture.source_of[id]);
     fixture.end_attempt(id, 0, Result::kCompleted, AnswerDetail::kHit, 0.001);
   }
-  return asked;
+  return used;
 }
 
 }  // namespace
 
-TEST_CASE("a director uses one group of a large zone's caches, all of a usual one, and the same parents") {
-  const Asked usual = asked_of(200), large = asked_of(640);
+TEST_CASE("a director uses one group of a large zone's caches, all of a usual zone's, and the same parents") {
+  const UsedNodes usual = used_nodes(200), large = used_nodes(640);
   CHECK(usual.caches.size() == 200);
   CHECK(large.caches.size() >= 25);
   CHECK(large.caches.size() <= 72);
@@ -69,13 +69,13 @@
   }
 }
 
-TEST_CASE("a zone is divided no further than its directors' work allows") {
+TEST_CASE("a zone is divided no further than its directors' load allows") {
   ZoneStatistics zone = busy_zone(640);
   CHECK(choose_group_count(zone, 1) == 16);
-  zone.directors = 1;  // 5,120 transfers' capacity for one director
+  zone.directors = 1;  // the capacity of 5,120 transfers is all for one director
   zone.demand = 80;
   CHECK(choose_group_count(zone, 1) == 16);
-  zone.demand = 200;  // 4 times that fit into a quarter of the zone, not into an eighth
+  zone.demand = 200;  // 4 times the demand fits into a quarter of the zone, not into an eighth
   CHECK(choose_group_count(zone, 1) == 4);
   zone.demand = 2000;
   CHECK(choose_group_count(zone, 1) == 1);
@@ -89,7 +89,7 @@
   CHECK(choose_group_count(zone, 1) == 16);
 }
 
-TEST_CASE("a zone whose size varies about a bound stays divided as it is") {
+TEST_CASE("a zone whose size varies around a bound keeps its division") {
   CHECK(choose_group_count(busy_zone(575), 1) == 8);
   CHECK(choose_group_count(busy_zone(576), 8) == 16);
   CHECK(choose_group_count(busy_zone(575), 16) == 16);
@@ -98,7 +98,7 @@
   CHECK(choose_group_count(busy_zone(150), 4) == 1);
 }
 
-TEST_CASE("each cache is in one group, and half a group stays when groups divide") {
+TEST_CASE("each cache is in one group, and half of a group stays when the groups are divided") {
   std::mt19937_64 random(1);
   for (int i = 0; i < 1000; ++i) {
     const std::uint64_t cache = random(), director = random();
@@ -110,7 +110,7 @@
   }
 }
 
-TEST_CASE("all directors of a zone together use its caches about evenly") {
+TEST_CASE("all directors of a zone together use its caches evenly, within bounds") {
   constexpr int kDirectors = 1600, kGroups = 16, kMean = kDirectors / kGroups;
   std::mt19937_64 random(1);
   std::vector<std::uint64_t> directors(kDirectors);
--- a/tests/policy/invalidations_test.cpp
+++ b/tests/policy/invalidations_test.cpp
@@ -1,4 +1,5 @@
-// Purges kept exactly, and past the bound by the cautious overflow, on a given clock.
+// Purges in the exact table, and past its limit in the overflow, which may only make bounds stricter. The
+// clock is given.
 #include "policy/invalidations.hpp"
 
 #include <doctest/doctest.h>
@@ -20,7 +21,8 @@
 }
 }  // namespace
 
-TEST_CASE("purges of objects and groups bound exactly; the later of two counts, an old one never does") {
+TEST_CASE(
+    "purges of objects and groups are kept exactly; the later of two counts, an expired one never does") {
   Invalidations invalidations(kLifetime);
   invalidations.object_purged(100, {1}, 0.5);
   invalidations.object_purged(101, {1}, 3);  // issued before the first
@@ -38,24 +40,26 @@
   CHECK_FALSE(invalidations.overflowed());
 }
 
-TEST_CASE("past the exact table: no purge is lost, the bound is the latest of its span, memory is bounded") {
+TEST_CASE(
+    "past the exact table: no purge is lost, the bound is the latest purge of its span, memory is bounded") {
   constexpr std::uint64_t kPurges = 360'000;
   Invalidations invalidations(kLifetime);
   for (std::uint64_t object = 0; object < kPurges; ++object)
     invalidations.object_purged(100 + static_cast<Seconds>(object) / 100'000, {object}, 0);
   CHECK(invalidations.exact_objects() == kExactObjectPurges);
   CHECK(invalidations.latest_purge({10}, kNoGroup) == 100 + 10 / 100'000.0);
-  std::size_t lax = 0, false_positives = 0;
+  std::size_t missed = 0, false_positives = 0;
   for (std::uint64_t object = 0; object < kPurges; ++object) {
     const auto latest = invalidations.latest_purge({object}, kNoGroup);
-    if (!latest || *latest < 100 + static_cast<Seconds>(object) / 100'000) ++lax;
+    if (!latest || *latest < 100 + static_cast<Seconds>(object) / 100'000) ++missed;
     if (invalidations.latest_purge({object + kPurges}, kNoGroup)) ++false_positives;
   }
-  CHECK(lax == 0);
+  CHECK(missed == 0);
   CHECK(false_positives < kPurges / 50);
-  CHECK(false_positives > 0);  // so large a backlog can't be exact in 1 MB
+  CHECK(false_positives > 0);  // so large a backlog can't be kept exactly in 1 MB
 
-  // An exact one that is purged again stays exact; one in the overflow is no laxer for it.
+  // A purge in the exact table that is repeated stays exact; a repeated one in the overflow gets no weaker
+  // bound.
   invalidations.object_purged(105, {10}, 0);
   invalidations.object_purged(105, {kPurges - 1}, 0);
   CHECK(invalidations.latest_purge({10}, kNoGroup) == 105);
@@ -68,27 +72,27 @@
   CHECK_FALSE(invalidations.latest_purge({kPurges - 1}, kNoGroup));
 }
 
-TEST_CASE("the overflow under a steady stream of purges forgets the old ones and keeps the live ones") {
+TEST_CASE("the overflow under a steady stream of purges drops expired purges and keeps the others") {
   constexpr std::uint64_t kFirst = 1'000'000;
   Seconds now = 100;
   Invalidations invalidations = full_table(now);
-  for (std::uint64_t turn = 0; turn < 100; ++turn) {
+  for (std::uint64_t round = 0; round < 100; ++round) {
     now += 1;
     for (std::uint64_t object = 0; object < kExactObjectPurges; ++object)
       invalidations.object_purged(now, {object}, 0);  // keeps the table full
-    invalidations.object_purged(now, {kFirst + turn}, 0);
-    if (turn % 5 == 0) invalidations.expire(now);
-    for (std::uint64_t live = turn < 11 ? 0 : turn - 11; live <= turn; ++live) {
-      const auto latest = invalidations.latest_purge({kFirst + live}, kNoGroup);
+    invalidations.object_purged(now, {kFirst + round}, 0);
+    if (round % 5 == 0) invalidations.expire(now);
+    for (std::uint64_t kept = round < 11 ? 0 : round - 11; kept <= round; ++kept) {
+      const auto latest = invalidations.latest_purge({kFirst + kept}, kNoGroup);
       REQUIRE(latest);
-      REQUIRE(*latest >= 101 + static_cast<Seconds>(live));
+      REQUIRE(*latest >= 101 + static_cast<Seconds>(kept));
     }
-    // Two generations of a lifetime each: what is older than that is gone.
-    if (turn >= 30) REQUIRE_FALSE(invalidations.latest_purge({kFirst + turn - 30}, kNoGroup));
+    // Two generations of one lifetime each: older purges are gone.
+    if (round >= 30) REQUIRE_FALSE(invalidations.latest_purge({kFirst + round - 30}, kNoGroup));
   }
 }
 
-TEST_CASE("groups past the protocol's number overflow too and stay apart from objects") {
+TEST_CASE("groups past the protocol's number overflow too and stay separate from objects") {
   Invalidations invalidations(kLifetime);
   for (std::int64_t group = 0; group <= static_cast<std::int64_t>(kExactGroupPurges); ++group)
     invalidations.group_purged(100, {group}, 0);
--- a/tests/policy/start_times_test.cpp
+++ b/tests/policy/start_times_test.cpp
@@ -1,4 +1,4 @@
-// Which moment counts as a node's start, on a given clock.
+// The time from which a node counts as started, with a given clock.
 #include "policy/start_times.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 const NodeId kOther{"c2"};
 }  // namespace
 
-TEST_CASE("the list at the start: stamps count, one in the future counts as now, none stays none") {
+TEST_CASE("the initial list: stamps count, one in the future counts as now, a missing one stays unknown") {
   for (const ListSource source : {ListSource::kKnownBeforeStart, ListSource::kChangeStream}) {
     StartTimes times;
     times.list_starts(source, true);
@@ -24,12 +24,13 @@
   StartTimes times;
   times.list_starts(ListSource::kKnownBeforeStart, true);
   CHECK(times.started(kNow, kNode, kNow - 30) == kNow - 30);
-  times.list_starts(ListSource::kKnownBeforeStart, false);  // a change that was known as well
+  // a change that was known before the start as well
+  times.list_starts(ListSource::kKnownBeforeStart, false);
   CHECK(times.started(kNow, kNode, kNow - 20) == kNow - 20);
 }
 
 TEST_CASE(
-    "a node first heard of in a change, or with another stamp, has just started whatever the stamp says") {
+    "a node that first appears in a change, or with another stamp, has just started whatever its stamp") {
   for (const Seconds error : {-kHour, -5.0, 0.0, 5.0, kHour}) {
     StartTimes times;
     times.list_starts(ListSource::kKnownBeforeStart, true);
@@ -37,27 +38,28 @@
     times.list_starts(ListSource::kChangeStream, false);
     CHECK(times.started(kNow + 10, kOther, kNow + 10 + error) == kNow + 10);
     CHECK(times.started(kNow + 20, kNode, kNow + 20 + error) == kNow + 20);
-    // A whole list later on is no list of the start.
+    // A later complete list is not an initial list.
     times.list_starts(ListSource::kChangeStream, true);
     CHECK(times.started(kNow + 30, {"c3"}, kNow + error) == kNow + 30);
   }
 }
 
-TEST_CASE("the same stamp keeps its start time in changes and in whole lists; no stamp tells nothing new") {
+TEST_CASE(
+    "the same stamp keeps its start time in changes and in complete lists; a missing stamp changes nothing") {
   StartTimes times;
   times.list_starts(ListSource::kKnownBeforeStart, true);
   times.started(kNow, kNode, kNow - 30);
   times.started(kNow, kOther, 0);
-  for (const bool whole : {false, true, true}) {
-    times.list_starts(ListSource::kChangeStream, whole);
+  for (const bool complete : {false, true, true}) {
+    times.list_starts(ListSource::kChangeStream, complete);
     CHECK(times.started(kNow + kHour, kNode, kNow - 30) == kNow - 30);
     CHECK(times.started(kNow + kHour, kNode, 0) == kNow - 30);
     CHECK(times.started(kNow + kHour, kOther, 0) == 0);
   }
-  CHECK(times.started(kNow + kHour, kOther, kNow) == kNow + kHour);  // its first stamp is another one
+  CHECK(times.started(kNow + kHour, kOther, kNow) == kNow + kHour);  // its first stamp is a new one
 }
 
-TEST_CASE("a node that was gone has just started when it is back, and nothing of it is kept meanwhile") {
+TEST_CASE("a removed node has just started when it returns, and nothing of it is stored meanwhile") {
   StartTimes times;
   times.list_starts(ListSource::kKnownBeforeStart, true);
   times.started(kNow, kNode, kNow - 30);
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -113,7 +113,7 @@
     }
     fixture.take_trace();
     fixture.end_attempt(request, 7, Result::kLocalFailure, AnswerDetail::kNone, 0);
-    CHECK(fixture.take_trace().find(request + ": bounce") != std::string::npos);
+    CHECK(fixture.take_trace().find(request + ": reject") != std::string::npos);
     for (const std::string& node : fixture.node_of[request]) CHECK(node == "c1");
   }
   fixture.request("next", 7);
--- a/tests/trace.hpp
+++ b/tests/trace.hpp
@@ -1,5 +1,5 @@
-// Compares a printed trace with the one kept in tests/traces/NAME.txt. With HARERAMP_KEEP set the trace is
-// written instead, for people to read.
+// Compares a trace with the one kept in tests/traces/NAME.txt. With HARERAMP_KEEP set, the trace is written
+// to that file instead, for a person to review.
 #pragma once
 
 #include <doctest/doctest.h>
