--- a/src/policy/start_times.cpp
+++ b/src/policy/start_times.cpp
@@ -9,7 +9,7 @@
   has_complete_list_ = has_complete_list_ || complete;
 }
 
-Seconds StartTimes::started(Seconds now, const NodeId& node, Seconds stamp) {
+Seconds StartTimes::start_time(Seconds now, const NodeId& node, Seconds stamp) {
   const auto known = entries_.find(node);
   const bool is_stamped = stamp > 0;
   if (known != entries_.end() && (!is_stamped || known->second.stamp == stamp)) return known->second.started;
--- a/src/policy/start_times.hpp
+++ b/src/policy/start_times.hpp
@@ -23,7 +23,7 @@
 
   // Start time of a listed node by the director's clock, in seconds near Unix time like `now` and the stamp.
   // A stamp of 0 or less means that there is none; the result is 0 where nothing is known.
-  Seconds started(Seconds now, const NodeId& node, Seconds stamp);
+  Seconds start_time(Seconds now, const NodeId& node, Seconds stamp);
 
   // Called for a node that has left the list: should it return, it counts as just started.
   void forget(const NodeId& node) { entries_.erase(node); }
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -44,7 +44,7 @@
     // The director's clock is near Unix time by a base that was fixed at its start: later steps move nothing.
     const Seconds started = endpoint_state == EndpointState::kRemoved
                                 ? 0
-                                : module_.start_times_.started(now(), node, started_unix_ms / 1000);
+                                : module_.start_times_.start_time(now(), node, started_unix_ms / 1000);
     module_.director_->list_entry(now(), node, {index(module_.names_.zones, zone)},
                                   {index(module_.names_.kinds, kind)}, cell, endpoint_state, weight, started,
                                   started_unix_ms / 1000);
