--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -44,7 +44,7 @@
 constexpr double kHotObjectShare = 0.25;
 // The low threshold of the three bands, as a fraction of the high one.
 constexpr double kLowThresholdFactor = 0.1;
-// Between the thresholds, a fill source is kept while at least this share of its fills are hits there.
+// Between the thresholds, a fill source is kept while more than this share of its fills are hits there.
 constexpr double kMinHitShare = 0.06;
 // Seconds between trial fills of a source that the bands exclude; also the longest backoff of an ejected
 // node.
@@ -185,16 +185,17 @@
   return (static_cast<double>(mix(key) >> 11) + 0.5) / 9007199254740992.0;
 }
 
-// An own hash of a node's id (FNV-1a), because it has to be the same in every director and every build.
+// Hash of a node's id (FNV-1a), implemented here so that it is the same in every director and every build.
 std::uint64_t hash_text(const std::string& text) {
   std::uint64_t hash = 0xcbf29ce484222325u;
   for (const unsigned char c : text) hash = (hash ^ c) * 0x100000001b3u;
   return mix(hash);
 }
 
-// What a second run of a request would do.
+// Whether a request may run a second time: always, while the nodes drop repeats of it, or never.
 enum class Effect { kRetryable, kDeduplicated, kNotRetryable };
 
+// Settings of a request class, and the mean sending time of its requests.
 struct RequestClass {
   Seconds base_latency_target = 0.5, dedup_window = 0, fresh_for = 0, stale_for = 0;
   double latency_target_stretch = 0;
@@ -223,7 +224,9 @@
   double size_kb = 0, admission_draw = 0;  // compared with link_fraction and origin_fraction
   bool write = false, hot = false, requested_before = false, origin_excluded = false, fill_failed = false,
        fill_in_progress = false;
-  bool closed = false, answer_started = false, may_have_run = false, overdue = false, accepts_stale = false;
+  // closed: the final answer was given, or the client has disconnected. bound_to_attempt: an attempt was
+  // reported as started, so no further one is sent and the director gives no answer of its own.
+  bool closed = false, bound_to_attempt = false, may_have_run = false, overdue = false, accepts_stale = false;
   bool deadline_capped = false;  // the deadline was shortened to the director's own end
   int first_node = kNoNode, lookups = 0, local_failures = 0;
   std::vector<Attempt> attempts;
@@ -713,6 +716,8 @@
   }
 
   // --- choices: without side effects, so that a rule can evaluate them before it acts ---
+  // The node of an attempt, the source of its fill (the node itself: no fill), and the one of them that is on
+  // trial, if any.
   struct Route {
     int node = kNoNode, source = kNoNode, trial_node = kNoNode;
     explicit operator bool() const { return node != kNoNode && source != kNoNode; }
@@ -972,7 +977,7 @@
   }
 
   // --- the rules: conditions and effects ---
-  bool is_unanswered(const Request& request) { return !request.closed && !request.answer_started; }
+  bool is_unanswered(const Request& request) { return !request.closed && !request.bound_to_attempt; }
   bool is_idle(const Request& request) {
     return is_unanswered(request) && request.in_flight_count() == 0 && now >= request.resume_at;
   }
@@ -1175,7 +1180,7 @@
         retry_after_local_failure(request);
         break;
       default:
-        if (result == Result::kTimedOut) blame_for_lateness(request, attempt);
+        if (result == Result::kTimedOut) attribute_lateness(request, attempt);
     }
   }
   // Guards against a short shortage of local ports, descriptors or routes, during which a request would use
@@ -1218,7 +1223,7 @@
   // Decides which node is responsible for a late attempt: the cache if it has not answered since, otherwise
   // the source if no fill from it has arrived since. If both have, they are slow, and no other node would be
   // faster.
-  bool blame_for_lateness(Request& request, const Attempt& attempt) {
+  bool attribute_lateness(Request& request, const Attempt& attempt) {
     if (answered_at[attempt.node] < attempt.sent_at) {
       record_failure(attempt.node, 1);
       request.excluded_nodes.push_back(attempt.node);
@@ -1281,7 +1286,7 @@
     // cache's concurrency limit.
     if (attempt.source != attempt.node)
       attempts_at[attempt.node] -= std::exchange(attempt.occupies_node, false);
-    const bool node_blamed = first && blame_for_lateness(request, attempt);
+    const bool node_at_fault = first && attribute_lateness(request, attempt);
     // kAttemptOverhead bounds the number of timers of one attempt.
     set_late_timer(request, attempt_index, std::max(expected_duration(request), kAttemptOverhead));
     if (may_send_concurrent_attempts) {
@@ -1290,7 +1295,7 @@
       // eject it before.
       if (is_parent(attempt.source) && origin_fraction < 1 && answered_at[attempt.node] >= attempt.sent_at)
         return;
-      request.overdue = node_blamed;
+      request.overdue = node_at_fault;
     } else {
       // Guards against abandoning answers that would still have arrived, where a further attempt requires
       // cancelling the one in flight: most late answers arrive, and each repeated fill loads one more parent,
@@ -1354,6 +1359,9 @@
   Seconds link_updated_at = kDistantPast, origin_decreased_at = kDistantPast,
           origin_recovery_step_at = kDistantPast, origin_answered_at = kDistantPast;
   ListCompleteness completeness = ListCompleteness::kCached;
+  // duration_factor: durations relative to send_time + kAttemptOverhead. fill_ratio: of the completed
+  // attempts that named a source, those that were filled. hit_slowdown: durations of hits relative to
+  // send_time.
   Average duration_factor, origin_rate, usual_origin_wait, fill_ratio, all_send_times, false_cache_failures,
       false_parent_failures;
   Average hit_slowdown;
@@ -1507,7 +1515,7 @@
 
 void Director::attempt_started(Seconds now, const RequestId& id, AttemptNumber) {
   if (Request* request = state_->advance_to(now).find_request(id))
-    request->answer_started = request->may_have_run = true;
+    request->bound_to_attempt = request->may_have_run = true;
 }
 
 void Director::attempt_ended(Seconds now, const RequestId& id, AttemptNumber number, const NodeId& node,
--- a/src/policy.hpp
+++ b/src/policy.hpp
@@ -82,13 +82,17 @@
 class Actions {
  public:
   virtual ~Actions() = default;
+  // Sends an attempt. A timeout of 0 leaves the deadline of the request as the only limit.
   virtual void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
                        Seconds timeout) = 0;
   virtual void cancel(const RequestId& request, AttemptNumber number) = 0;
+  // Final answer: rejected, and harmless to send again; retry_after is 0 where no delay is advised.
   virtual void reject(const RequestId& request, Seconds retry_after) = 0;
+  // Final answer: failed; the request may have run.
   virtual void fail(const RequestId& request) = 0;
   virtual void set_timer(Seconds at, const TimerToken& token) = 0;
   virtual void probe(const NodeId& node) = 0;
+  // Subscribes to the node list: at the start where the settings say so, and again after a failure.
   virtual void watch_list() = 0;
   virtual void log(const std::string& message) = 0;
 };
