--- a/experiments/capacity/cold_quota.cpp
+++ b/experiments/capacity/cold_quota.cpp
@@ -44,7 +44,7 @@
   DirectorPlan plan;
   plan.change_stream = "127.0.0.1:1";
   plan.directors = directors;
-  const program::Config config = program::read_config(director_configuration(plan), "", "");
+  const program::Config config = program::parse_config(director_configuration(plan), "", "");
   CountingActions actions;
   Seconds now = 1000;
   Director director(now, config.settings, 1, actions);
--- a/experiments/capacity/roles.cpp
+++ b/experiments/capacity/roles.cpp
@@ -162,7 +162,7 @@
     endpoints.push_back({*transport::Address::parse(address), address});
   plan.change_stream = endpoints.front().host;
   plan.directors = role.directors;
-  const program::Config config = program::read_config(director_configuration(plan), "", "");
+  const program::Config config = program::parse_config(director_configuration(plan), "", "");
   std::FILE* null = std::fopen("/dev/null", "w");
   Log log(fileno(null));
   std::vector<std::unique_ptr<SimulatedDirector>> directors;
--- a/experiments/capacity/simulated_director.cpp
+++ b/experiments/capacity/simulated_director.cpp
@@ -36,8 +36,8 @@
     : config_(config),
       module_(scheduler, config.limits, counters_, log, config.names, config.settings, seed),
       recorder_(module_, kPurgeInForce),
-      changes_(scheduler, config.limits, counters_, log, std::move(endpoints), config.known_to, recorder_,
-               options) {}
+      changes_(scheduler, config.limits, counters_, log, std::move(endpoints), config.last_known_event,
+               recorder_, options) {}
 
 void SimulatedDirector::start() {
   module_.start();
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -40,7 +40,7 @@
 
 int run_relay(const Paths& paths, std::FILE*, std::FILE* err) {
   Log log(fileno(err));
-  return relay(load_operator(paths.operator_file, kUsualMemory), paths.operator_file, log);
+  return relay(load_operator_file(paths.operator_file, kUsualMemory), paths.operator_file, log);
 }
 
 void print_operator(const OperatorFile& file, std::FILE* out) {
@@ -61,13 +61,13 @@
 int run_check(const Paths& paths, std::FILE* out, std::FILE*) {
   const bool alone = paths.config.empty() && !std::getenv("EDGE_CONFIG") && !paths.operator_file.empty();
   if (alone) {
-    print_operator(load_operator(paths.operator_file, kUsualMemory), out);
+    print_operator(load_operator_file(paths.operator_file, kUsualMemory), out);
     return 0;
   }
   const Config config = load_config(paths.config);
-  const OperatorFile operator_file = load_operator(paths.operator_file, config.memory);
+  const OperatorFile operator_file = load_operator_file(paths.operator_file, config.memory);
   fmt::print(out, "{}: would listen at {}, follow the change log at {} after event {}\n", config.name,
-             config.listen.text(), config.change_log.text(), config.known_to);
+             config.listen.text(), config.change_log.text(), config.last_known_event);
   const auto list = [&](const char* what, const std::vector<std::string>& names) {
     fmt::print(out, "{}: {}\n", what, fmt::join(names, ", "));
   };
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -17,7 +17,7 @@
 }
 transport::Address address(const std::string& text, const std::string& what) {
   const auto parsed = transport::Address::parse(text);
-  if (!parsed) throw BadConfig(what + " is not an address with a port: '" + text + "'");
+  if (!parsed) throw ConfigError(what + " is not an address with a port: '" + text + "'");
   return *parsed;
 }
 std::vector<std::string> texts(const protocol::Json& list, const char* member = nullptr) {
@@ -27,11 +27,11 @@
 }
 }  // namespace
 
-Config read_config(const std::string& text, const std::string& name, const std::string& listen) {
+Config parse_config(const std::string& text, const std::string& name, const std::string& listen) {
   const auto json = protocol::Json::parse(text);
-  if (!json || !json->is_object()) throw BadConfig("the configuration is not a JSON object");
+  if (!json || !json->is_object()) throw ConfigError("the configuration is not a JSON object");
   const protocol::Json& settings = (*json)["settings"];
-  if (!settings.is_object()) throw BadConfig("the configuration has no settings");
+  if (!settings.is_object()) throw ConfigError("the configuration has no settings");
 
   Config config;
   config.name = name.empty() ? (*json)["name"].text() : name;
@@ -41,16 +41,16 @@
   const std::string& seed = (*json)["seed"].text();
   const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (error != std::errc() || end != seed.data() + seed.size())
-    throw BadConfig("seed is not a number of up to 16 hex digits: '" + seed + "'");
+    throw ConfigError("seed is not a number of up to 16 hex digits: '" + seed + "'");
   const protocol::Json& known = (*json)["known"];
   config.known = known["results"].items();
-  config.known_to = known["seq"].whole().value_or(0);
+  config.last_known_event = known["seq"].whole().value_or(0);
   protocol::flatten_settings(config.settings, settings);
   config.names = {
       texts(settings["RequestClasses"], "Name"), texts(settings["Zones"]), texts(settings["Kinds"]), {}};
   for (const std::string& writes : texts(settings["FamilyInfo"]["GoesThrough"]))
     config.names.writes.push_back(writes == "true");
-  if (config.names.request_classes.empty()) throw BadConfig("the settings name no RequestClasses");
+  if (config.names.request_classes.empty()) throw ConfigError("the settings name no RequestClasses");
   config.memory = static_cast<std::size_t>(std::clamp((*json)["limits"]["memory_mb"].number(192), 1.0, 1e6))
                   << 20;
   config.limits = fill_limits((*json)["limits"], settings);
@@ -59,12 +59,12 @@
 
 Config load_config(const std::string& path) {
   const std::string from = path.empty() ? variable("EDGE_CONFIG") : path;
-  if (from.empty()) throw BadConfig("EDGE_CONFIG is not set and no configuration was named");
+  if (from.empty()) throw ConfigError("EDGE_CONFIG is not set and no configuration was named");
   std::ifstream file(from);
-  if (!file) throw BadConfig("can't read the configuration '" + from + "'");
+  if (!file) throw ConfigError("can't read the configuration '" + from + "'");
   std::stringstream text;
   text << file.rdbuf();
-  return read_config(text.str(), variable("EDGE_NAME"), variable("EDGE_LISTEN"));
+  return parse_config(text.str(), variable("EDGE_NAME"), variable("EDGE_LISTEN"));
 }
 
 }  // namespace hareramp::program
--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -15,7 +15,7 @@
 namespace hareramp::program {
 
 // One plain message about what can't be used.
-struct BadConfig : std::runtime_error {
+struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -23,7 +23,7 @@
   std::string name, change_log_host;
   transport::Address listen, change_log;
   std::uint64_t seed = 0;
-  long long known_to = 0;
+  long long last_known_event = 0;
   std::vector<protocol::Json> known;
   Settings settings;
   routing::Names names;
@@ -32,7 +32,7 @@
 };
 
 // The text of a configuration; what the environment says of name and address goes before the file.
-Config read_config(const std::string& text, const std::string& name, const std::string& listen);
+Config parse_config(const std::string& text, const std::string& name, const std::string& listen);
 
 // By the variables EDGE_CONFIG, EDGE_NAME and EDGE_LISTEN; a path given takes the first one's place.
 Config load_config(const std::string& path = "");
--- a/src/program/operator.cpp
+++ b/src/program/operator.cpp
@@ -21,7 +21,7 @@
 
 [[noreturn]] void refuse(const std::string& file, const std::string& pointer, const std::string& there,
                          const std::string& asked) {
-  throw BadConfig(SchemaViolation{pointer, there, asked}.line(file));
+  throw ConfigError(SchemaViolation{pointer, there, asked}.line(file));
 }
 
 template <class Value>
@@ -133,15 +133,15 @@
 
 }  // namespace
 
-OperatorFile read_operator(const std::string& text, const std::string& file, std::size_t memory) {
+OperatorFile parse_operator_file(const std::string& text, const std::string& file, std::size_t memory) {
   json document;
   try {
     document = json::parse(text);
   } catch (const json::parse_error& error) {
-    throw BadConfig(fmt::format("{}: not JSON: {}", file, error.what()));
+    throw ConfigError(fmt::format("{}: not JSON: {}", file, error.what()));
   }
   if (const auto slip = first_violation(json::parse(kOperatorSchema), document))
-    throw BadConfig(slip->line(file));
+    throw ConfigError(slip->line(file));
   OperatorFile out;
   const json empty = json::object();
   const json& log = document.contains("log") ? document["log"] : empty;
@@ -159,17 +159,17 @@
   return out;
 }
 
-OperatorFile load_operator(const std::string& path, std::size_t memory) {
+OperatorFile load_operator_file(const std::string& path, std::size_t memory) {
   const char* variable = std::getenv("HARERAMP_OPERATOR");
   const std::string from = !path.empty() ? path : variable ? variable : "";
   if (from.empty()) return {};
   std::ifstream file(from, std::ios::binary);
-  if (!file) throw BadConfig("can't read the operator's file '" + from + "'");
+  if (!file) throw ConfigError("can't read the operator's file '" + from + "'");
   std::string text(kLargestFile + 1, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(file.gcount()));
-  if (text.size() > kLargestFile) throw BadConfig(from + ": over 16 MB");
-  return read_operator(text, from, memory);
+  if (text.size() > kLargestFile) throw ConfigError(from + ": over 16 MB");
+  return parse_operator_file(text, from, memory);
 }
 
 }  // namespace hareramp::program
--- a/src/program/operator.hpp
+++ b/src/program/operator.hpp
@@ -33,9 +33,9 @@
 
 // file is only named in what is said. Throws BadConfig with one line: file, JSON pointer, what is there and
 // what is wanted. memory (bytes) scales what the file does not set.
-OperatorFile read_operator(const std::string& text, const std::string& file, std::size_t memory);
+OperatorFile parse_operator_file(const std::string& text, const std::string& file, std::size_t memory);
 
 // The file that path or the variable HARERAMP_OPERATOR names; everything off where neither does.
-OperatorFile load_operator(const std::string& path, std::size_t memory);
+OperatorFile load_operator_file(const std::string& path, std::size_t memory);
 
 }  // namespace hareramp::program
--- a/src/program/relay.cpp
+++ b/src/program/relay.cpp
@@ -28,7 +28,7 @@
   limit.rlim_cur = limit.rlim_max;
   setrlimit(RLIMIT_NOFILE, &limit);
   if (limit.rlim_max < subscribers + kOwnDescriptors)
-    throw BadConfig(
+    throw ConfigError(
         fmt::format("relay/subscribers_most is {}, but this process may have only {} descriptors, {} of them "
                     "its own: raise "
                     "the limit (ulimit -n) or lower subscribers_most",
@@ -52,7 +52,7 @@
 int relay(const OperatorFile& operator_file, const std::string& operator_path, Log& log) {
   signal(SIGPIPE, SIG_IGN);
   const distribution::RelaySettings& settings = operator_file.relay;
-  if (!settings.enabled) throw BadConfig("the operator's file has no relay switched on: relay/enabled");
+  if (!settings.enabled) throw ConfigError("the operator's file has no relay switched on: relay/enabled");
   log.use(operator_file.log_form, operator_file.log_level);
   raise_descriptor_limit(settings.subscribers_most);
   const protocol::Json nothing;
@@ -71,8 +71,8 @@
   distribution::RelayActor actor(scheduler, limits, counters, log, settings, settings.listen.port());
   const auto reload = [&] {
     try {
-      const OperatorFile fresh = load_operator(operator_path, kUsualMemory);
-      if (fresh.relay.sources.empty()) throw BadConfig("relay/sources is empty");
+      const OperatorFile fresh = load_operator_file(operator_path, kUsualMemory);
+      if (fresh.relay.sources.empty()) throw ConfigError("relay/sources is empty");
       actor.follow(fresh.relay.sources);
       log.use(fresh.log_form, fresh.log_level);
     } catch (const std::exception& error) {
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -61,7 +61,7 @@
         module_(scheduler_, config.limits, counters_, log, config.names, config.settings, config.seed,
                 flows_.get()),
         changes_(scheduler_, config.limits, counters_, log, change_stream(config, operator_file),
-                 config.known_to, module_, subscription_options(config, operator_file)),
+                 config.last_known_event, module_, subscription_options(config, operator_file)),
         front_(scheduler_, config.limits, counters_, config.listen, config.names, module_, flows_.get()) {
     scheduler_.on_late = [this](Seconds until) {
       module_.woke_late(until);
@@ -122,7 +122,7 @@
   void reload() {
     try {
       const Config fresh = load_config(path_);
-      const OperatorFile fresh_operator = load_operator(operator_path_, config_.memory);
+      const OperatorFile fresh_operator = load_operator_file(operator_path_, config_.memory);
       ++counters_.reloads;
       changes_.moved(change_stream(fresh, fresh_operator));
       log_.use(fresh_operator.log_form, fresh_operator.log_level);
@@ -181,7 +181,7 @@
 int serve(const Config& config, const std::string& path, const std::string& operator_path, Log& log) {
   signal(SIGPIPE, SIG_IGN);
   signal(SIGXFSZ, SIG_IGN);  // a file at its limit is a write that fails, not an end
-  const OperatorFile operator_file = load_operator(operator_path, config.memory);
+  const OperatorFile operator_file = load_operator_file(operator_path, config.memory);
   log.use(operator_file.log_form, operator_file.log_level);
   Service(config, path, operator_file, operator_path, log).run();
   return 0;
--- a/tests/program/operator_test.cpp
+++ b/tests/program/operator_test.cpp
@@ -7,21 +7,22 @@
 #include "program/config.hpp"
 
 using namespace hareramp;
-using program::read_operator;
+using program::parse_operator_file;
 
 namespace {
 std::string said(const std::string& text) {
   try {
-    read_operator(text, "FILE", 192 << 20);
+    parse_operator_file(text, "FILE", 192 << 20);
     return "taken\n";
-  } catch (const program::BadConfig& error) {
+  } catch (const program::ConfigError& error) {
     return std::string(error.what()) + "\n";
   }
 }
 }  // namespace
 
 TEST_CASE("the shipped example is taken and switches nothing on") {
-  const auto file = program::load_operator(std::string(HARERAMP_SOURCE) + "/deploy/operator.json", 192 << 20);
+  const auto file =
+      program::load_operator_file(std::string(HARERAMP_SOURCE) + "/deploy/operator.json", 192 << 20);
   CHECK_FALSE(file.flow_export.enabled);
   CHECK_FALSE(file.flow_export.spool.enabled);
   CHECK_FALSE(file.change_stream.enabled);
@@ -29,7 +30,7 @@
   CHECK(file.flow_export.networks->size() == 2);
   CHECK(file.log_form == LogForm::kText);
   CHECK(file.flow_export.flows_most == (192u << 20) / 16 / 256);
-  CHECK_THROWS_AS(program::load_operator("/nowhere/operator.json", 1 << 20), program::BadConfig);
+  CHECK_THROWS_AS(program::load_operator_file("/nowhere/operator.json", 1 << 20), program::ConfigError);
 }
 
 TEST_CASE("slips in the operator's file are named by file, pointer, what is there and what is wanted") {
