--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -11,16 +11,16 @@
 namespace hareramp::program {
 
 namespace {
-std::string variable(const char* name) {
+std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
 }
-transport::Address address(const std::string& text, const std::string& what) {
+transport::Address parse_address(const std::string& text, const std::string& field) {
   const auto parsed = transport::Address::parse(text);
-  if (!parsed) throw ConfigError(what + " is not an address with a port: '" + text + "'");
+  if (!parsed) throw ConfigError(field + " is not an address with a port: '" + text + "'");
   return *parsed;
 }
-std::vector<std::string> texts(const protocol::Json& list, const char* member = nullptr) {
+std::vector<std::string> string_list(const protocol::Json& list, const char* member = nullptr) {
   std::vector<std::string> all;
   for (const auto& item : list.items()) all.push_back(member ? item[member].text() : item.text());
   return all;
@@ -31,13 +31,14 @@
   const auto json = protocol::Json::parse(text);
   if (!json || !json->is_object()) throw ConfigError("the configuration is not a JSON object");
   const protocol::Json& settings = (*json)["settings"];
-  if (!settings.is_object()) throw ConfigError("the configuration has no settings");
+  if (!settings.is_object()) throw ConfigError("the configuration has no 'settings' object");
 
   Config config;
   config.name = name.empty() ? (*json)["name"].text() : name;
-  config.listen = address(listen.empty() ? (*json)["listen"].text() : listen, "the address to listen at");
-  config.change_log_host = (*json)["changelog"].text();
-  config.change_log = address(config.change_log_host, "changelog");
+  config.listen =
+      parse_address(listen.empty() ? (*json)["listen"].text() : listen, "the address to listen at");
+  config.change_stream_host = (*json)["changelog"].text();
+  config.change_stream_source = parse_address(config.change_stream_host, "changelog");
   const std::string& seed = (*json)["seed"].text();
   const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (error != std::errc() || end != seed.data() + seed.size())
@@ -46,11 +47,13 @@
   config.known = known["results"].items();
   config.last_known_event = known["seq"].whole().value_or(0);
   protocol::flatten_settings(config.settings, settings);
-  config.names = {
-      texts(settings["RequestClasses"], "Name"), texts(settings["Zones"]), texts(settings["Kinds"]), {}};
-  for (const std::string& writes : texts(settings["FamilyInfo"]["GoesThrough"]))
+  config.names = {string_list(settings["RequestClasses"], "Name"),
+                  string_list(settings["Zones"]),
+                  string_list(settings["Kinds"]),
+                  {}};
+  for (const std::string& writes : string_list(settings["FamilyInfo"]["GoesThrough"]))
     config.names.writes.push_back(writes == "true");
-  if (config.names.request_classes.empty()) throw ConfigError("the settings name no RequestClasses");
+  if (config.names.request_classes.empty()) throw ConfigError("the settings have no RequestClasses");
   config.memory = static_cast<std::size_t>(std::clamp((*json)["limits"]["memory_mb"].number(192), 1.0, 1e6))
                   << 20;
   config.limits = fill_limits((*json)["limits"], settings);
@@ -58,13 +61,13 @@
 }
 
 Config load_config(const std::string& path) {
-  const std::string from = path.empty() ? variable("EDGE_CONFIG") : path;
-  if (from.empty()) throw ConfigError("EDGE_CONFIG is not set and no configuration was named");
-  std::ifstream file(from);
-  if (!file) throw ConfigError("can't read the configuration '" + from + "'");
+  const std::string file_path = path.empty() ? environment_variable("EDGE_CONFIG") : path;
+  if (file_path.empty()) throw ConfigError("EDGE_CONFIG is not set and --config is not given");
+  std::ifstream file(file_path);
+  if (!file) throw ConfigError("can't read the configuration file '" + file_path + "'");
   std::stringstream text;
   text << file.rdbuf();
-  return parse_config(text.str(), variable("EDGE_NAME"), variable("EDGE_LISTEN"));
+  return parse_config(text.str(), environment_variable("EDGE_NAME"), environment_variable("EDGE_LISTEN"));
 }
 
 }  // namespace hareramp::program
--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -1,4 +1,5 @@
-// What a director is told at its start: three variables and the file that one of them names.
+// A director's configuration at startup: the JSON file that EDGE_CONFIG names, and the variables EDGE_NAME
+// and EDGE_LISTEN, which override parts of it.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +15,33 @@
 
 namespace hareramp::program {
 
-// One plain message about what can't be used.
+// The configuration or the operator's file can't be used. what() is one line for the operator.
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 struct Config {
-  std::string name, change_log_host;
-  transport::Address listen, change_log;
+  std::string name, change_stream_host;
+  transport::Address listen, change_stream_source;
   std::uint64_t seed = 0;
   long long last_known_event = 0;
-  std::vector<protocol::Json> known;
+  std::vector<protocol::Json> known;  // events up to last_known_event, each with its sequence number
   Settings settings;
   routing::Names names;
   Limits limits;
-  std::size_t memory = 0;  // bytes that the platform gives
+  std::size_t memory = 0;  // bytes that the platform gives this process
 };
 
-// The text of a configuration; what the environment says of name and address goes before the file.
+// Parses the text of a configuration. A name or an address to listen at that is not empty (from the
+// environment) overrides the one in the text. Throws ConfigError.
 Config parse_config(const std::string& text, const std::string& name, const std::string& listen);
 
-// By the variables EDGE_CONFIG, EDGE_NAME and EDGE_LISTEN; a path given takes the first one's place.
+// Loads the configuration at path, or the one that EDGE_CONFIG names if path is empty. EDGE_NAME and
+// EDGE_LISTEN override its name and its address to listen at.
 Config load_config(const std::string& path = "");
 
-// All limits, from what the configuration says of descriptors, memory and the nodes' connections.
-Limits fill_limits(const protocol::Json& limits, const protocol::Json& settings);
+// Computes all limits from the configuration: platform_limits gives the descriptors and the memory, settings
+// the deadlines and what is allowed on connections to nodes.
+Limits fill_limits(const protocol::Json& platform_limits, const protocol::Json& settings);
 
 }  // namespace hareramp::program
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -2,4 +2,4 @@
 
 #include "program/command_line.hpp"
 
-int main(int count, char** words) { return hareramp::program::run_command(count, words, stdout, stderr); }
+int main(int argc, char** argv) { return hareramp::program::run_command(argc, argv, stdout, stderr); }
--- a/src/program/operator.hpp
+++ b/src/program/operator.hpp
@@ -1,5 +1,5 @@
-// The operator's own file: what an installation switches on beside the platform's configuration. JSON, held
-// against deploy/operator.schema.json, which is part of the program.
+// The operator's file: what an installation enables in addition to the platform's configuration. JSON,
+// validated against deploy/operator.schema.json, which is compiled into the program.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 
 extern const char* const kOperatorSchema;
 
-// How this director follows the change stream in place of the platform's own source.
+// How this director follows the change stream from relays instead of from the platform's own source.
 struct ChangeStreamSettings {
   bool enabled = false;
   bool compressed = true;
@@ -31,11 +31,13 @@
   distribution::RelaySettings relay;
 };
 
-// file is only named in what is said. Throws BadConfig with one line: file, JSON pointer, what is there and
-// what is wanted. memory (bytes) scales what the file does not set.
+// Parses the text of an operator's file. file is the name used in error messages. Throws ConfigError with one
+// line: file, JSON pointer, what was found and what was expected. memory (bytes) scales the defaults of
+// settings that the file leaves out.
 OperatorFile parse_operator_file(const std::string& text, const std::string& file, std::size_t memory);
 
-// The file that path or the variable HARERAMP_OPERATOR names; everything off where neither does.
+// Loads the file at path, or the one that HARERAMP_OPERATOR names if path is empty; everything is off if
+// neither is given. Throws ConfigError.
 OperatorFile load_operator_file(const std::string& path, std::size_t memory);
 
 }  // namespace hareramp::program
--- a/src/program/relay.cpp
+++ b/src/program/relay.cpp
@@ -18,24 +18,23 @@
 using transport::Scheduler;
 using transport::Task;
 
-constexpr std::size_t kOwnDescriptors = 32;       // standard streams, epoll, signals, listener, source
-constexpr std::size_t kUsualMemory = 192u << 20;  // bytes; only scales what a relay does not use
+constexpr std::size_t kReservedDescriptors = 32;    // standard streams, epoll, signals, listener, source
+constexpr std::size_t kDefaultMemory = 192u << 20;  // bytes; only scales settings that a relay does not use
 
-// As many descriptors as the system lets this process have, which must do for the subscribers.
+// Raises the descriptor limit to the hard limit. Throws ConfigError if that is too low for the subscribers.
 void raise_descriptor_limit(std::size_t subscribers) {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
   limit.rlim_cur = limit.rlim_max;
   setrlimit(RLIMIT_NOFILE, &limit);
-  if (limit.rlim_max < subscribers + kOwnDescriptors)
+  if (limit.rlim_max < subscribers + kReservedDescriptors)
     throw ConfigError(
         fmt::format("relay/subscribers_most is {}, but this process may have only {} descriptors, {} of them "
-                    "its own: raise "
-                    "the limit (ulimit -n) or lower subscribers_most",
-                    subscribers, limit.rlim_max, kOwnDescriptors));
+                    "reserved: raise the limit (ulimit -n) or lower subscribers_most",
+                    subscribers, limit.rlim_max, kReservedDescriptors));
 }
 
-void log_counts(const distribution::RelayActor& actor, const Counters& counters, Log& log) {
+void log_counters(const distribution::RelayActor& actor, const Counters& counters, Log& log) {
   const distribution::Relay& relay = actor.relay();
   const distribution::RelayCounts& counts = relay.counts();
   log.info(
@@ -52,11 +51,11 @@
 int relay(const OperatorFile& operator_file, const std::string& operator_path, Log& log) {
   signal(SIGPIPE, SIG_IGN);
   const distribution::RelaySettings& settings = operator_file.relay;
-  if (!settings.enabled) throw ConfigError("the operator's file has no relay switched on: relay/enabled");
+  if (!settings.enabled) throw ConfigError("the operator's file does not enable the relay (relay/enabled)");
   log.use(operator_file.log_form, operator_file.log_level);
   raise_descriptor_limit(settings.subscribers_most);
-  const protocol::Json nothing;
-  const Limits limits = fill_limits(nothing, nothing);
+  const protocol::Json no_settings;
+  const Limits limits = fill_limits(no_settings, no_settings);
   Counters counters;
   Scheduler scheduler;
   scheduler.on_failure = [&](std::exception_ptr failure) {
@@ -71,28 +70,29 @@
   distribution::RelayActor actor(scheduler, limits, counters, log, settings, settings.listen.port());
   const auto reload = [&] {
     try {
-      const OperatorFile fresh = load_operator_file(operator_path, kUsualMemory);
-      if (fresh.relay.sources.empty()) throw ConfigError("relay/sources is empty");
-      actor.follow(fresh.relay.sources);
-      log.use(fresh.log_form, fresh.log_level);
+      const OperatorFile new_file = load_operator_file(operator_path, kDefaultMemory);
+      if (new_file.relay.sources.empty()) throw ConfigError("relay/sources is empty");
+      actor.follow(new_file.relay.sources);
+      log.use(new_file.log_form, new_file.log_level);
     } catch (const std::exception& error) {
-      log.warning("reload_failed", "relay: the operator's file stays as it is: {}", error.what());
+      log.warning("reload_failed", "relay: reload failed, the previous settings stay in use: {}",
+                  error.what());
     }
   };
-  const auto heed_signals = [&]() -> Task<> {
+  const auto handle_signals = [&]() -> Task<> {
     for (;;) {
       const int signal = co_await signals.next();
-      if (signal == SIGUSR1) log_counts(actor, counters, log);
+      if (signal == SIGUSR1) log_counters(actor, counters, log);
       if (signal == SIGHUP) reload();
       if (signal == SIGTERM || signal == SIGINT) scheduler.stop();
     }
   };
   actor.start();
-  scheduler.spawn(heed_signals());
-  log.info("relaying", "relay: serving the change stream at {}, {} subscribers at most",
+  scheduler.spawn(handle_signals());
+  log.info("relaying", "relay: serving the change stream at {}, at most {} subscribers",
            actor.address().text(), settings.subscribers_most);
   scheduler.run();
-  log_counts(actor, counters, log);
+  log_counters(actor, counters, log);
   scheduler.clear();
   return 0;
 }
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -23,11 +23,12 @@
 using transport::Scheduler;
 using transport::Task;
 
-// The relays that the operator names, from one that is drawn by this director's seed on; else the platform's
-// source.
-std::vector<distribution::Endpoint> change_stream(const Config& config, const OperatorFile& operator_file) {
+// The endpoints of the change stream, in the order in which they are tried: the operator's relays, starting
+// at one chosen by this director's seed, or else the platform's source.
+std::vector<distribution::Endpoint> change_stream_endpoints(const Config& config,
+                                                            const OperatorFile& operator_file) {
   std::vector<distribution::Endpoint> relays = operator_file.change_stream.relays;
-  if (!operator_file.change_stream.enabled) return {{config.change_log, config.change_log_host}};
+  if (!operator_file.change_stream.enabled) return {{config.change_stream_source, config.change_stream_host}};
   std::rotate(relays.begin(), relays.begin() + static_cast<std::ptrdiff_t>(config.seed % relays.size()),
               relays.end());
   return relays;
@@ -46,27 +47,29 @@
 
 class Service {
  public:
-  Service(const Config& config, const std::string& path, const OperatorFile& operator_file,
+  Service(const Config& config, const std::string& config_path, const OperatorFile& operator_file,
           const std::string& operator_path, Log& log)
       : config_(config),
-        path_(path),
+        config_path_(config_path),
         operator_path_(operator_path),
         log_(log),
         signals_(scheduler_, {SIGTERM, SIGINT, SIGUSR1, SIGHUP}),
         change_stream_enabled_(operator_file.change_stream.enabled),
-        flows_(operator_file.flow_export.enabled
-                   ? std::make_unique<flow::Exporter>(scheduler_, config.limits, counters_, log,
-                                                      operator_file.flow_export, config.seed)
-                   : nullptr),
-        module_(scheduler_, config.limits, counters_, log, config.names, config.settings, config.seed,
-                flows_.get()),
-        changes_(scheduler_, config.limits, counters_, log, change_stream(config, operator_file),
-                 config.last_known_event, module_, subscription_options(config, operator_file)),
-        front_(scheduler_, config.limits, counters_, config.listen, config.names, module_, flows_.get()) {
+        flow_exporter_(operator_file.flow_export.enabled
+                           ? std::make_unique<flow::Exporter>(scheduler_, config.limits, counters_, log,
+                                                              operator_file.flow_export, config.seed)
+                           : nullptr),
+        director_(scheduler_, config.limits, counters_, log, config.names, config.settings, config.seed,
+                  flow_exporter_.get()),
+        subscription_(scheduler_, config.limits, counters_, log,
+                      change_stream_endpoints(config, operator_file), config.last_known_event, director_,
+                      subscription_options(config, operator_file)),
+        client_listener_(scheduler_, config.limits, counters_, config.listen, config.names, director_,
+                         flow_exporter_.get()) {
     scheduler_.on_late = [this](Seconds until) {
-      module_.woke_late(until);
+      director_.woke_late(until);
       if (scheduler_.late() >= 1)  // shorter ones are only counted: a machine without a free core has many
-        log_.warning("stood_still", "the process stood still for {:.1f} s", scheduler_.late());
+        log_.warning("stood_still", "the process was stalled for {:.1f} s", scheduler_.late());
     };
     scheduler_.on_failure = [this](std::exception_ptr failure) {
       ++counters_.failures;
@@ -80,17 +83,17 @@
     };
   }
 
-  // Connections are counted to their end, so they go before what counts them.
+  // Closes the connections while the counters and observers that they update still exist.
   ~Service() { scheduler_.clear(); }
 
   void run() {
-    if (flows_) flows_->start();
-    module_.start();
-    changes_.start(config_.known);
-    front_.start();
-    scheduler_.spawn(heed_signals());
+    if (flow_exporter_) flow_exporter_->start();
+    director_.start();
+    subscription_.start(config_.known);
+    client_listener_.start();
+    scheduler_.spawn(handle_signals());
     log_.event(LogLevel::kInfo, "serving",
-               fmt::format("{}: serving, with {} clients at most", config_.name, config_.limits.max_clients),
+               fmt::format("{}: serving, at most {} clients", config_.name, config_.limits.max_clients),
                {{"name", config_.name}, {"clients_most", std::uint64_t{config_.limits.max_clients}}});
     scheduler_.run();
     log_counters();
@@ -101,89 +104,92 @@
     log_.event(LogLevel::kInfo, "counters", fmt::format("{}: {}", config_.name, counters_line(counters_)));
   }
 
-  Task<> heed_signals() {
-    bool leaving = false;
+  Task<> handle_signals() {
+    bool shutting_down = false;
     for (;;) {
       const int signal = co_await signals_.next();
       if (signal == SIGHUP) reload();
       if (signal == SIGUSR1) log_counters();
-      if ((signal != SIGTERM && signal != SIGINT) || leaving) continue;
-      leaving = true;
+      if ((signal != SIGTERM && signal != SIGINT) || shutting_down) continue;
+      shutting_down = true;
       log_.event(LogLevel::kInfo, "leaving",
-                 fmt::format("{}: leaving, {} requests open", config_.name, module_.open_requests()),
-                 {{"name", config_.name}, {"open", std::uint64_t{module_.open_requests()}}});
-      scheduler_.spawn(leave());
+                 fmt::format("{}: shutting down, {} requests open", config_.name, director_.open_requests()),
+                 {{"name", config_.name}, {"open", std::uint64_t{director_.open_requests()}}});
+      scheduler_.spawn(shut_down());
     }
   }
 
-  // Guards against a file that is missing, half written or unusable: what was in force stays in force, and
-  // the next SIGHUP reads anew. Signals that come while one is being heeded fold into one, after the newest
-  // file.
+  // If a file is missing, half written or invalid, the previous settings stay in use, and the next SIGHUP
+  // reads the files again. SIGHUPs that arrive while one is being handled are merged into one, which reads
+  // the newest files.
   void reload() {
     try {
-      const Config fresh = load_config(path_);
-      const OperatorFile fresh_operator = load_operator_file(operator_path_, config_.memory);
+      const Config new_config = load_config(config_path_);
+      const OperatorFile new_operator_file = load_operator_file(operator_path_, config_.memory);
       ++counters_.reloads;
-      changes_.moved(change_stream(fresh, fresh_operator));
-      log_.use(fresh_operator.log_form, fresh_operator.log_level);
-      if (flows_ && fresh_operator.flow_export.enabled) flows_->reload(fresh_operator.flow_export);
-      std::string kept;
+      subscription_.moved(change_stream_endpoints(new_config, new_operator_file));
+      log_.use(new_operator_file.log_form, new_operator_file.log_level);
+      if (flow_exporter_ && new_operator_file.flow_export.enabled)
+        flow_exporter_->reload(new_operator_file.flow_export);
+      std::string restart_fields;
       const auto compare = [&](const char* field, bool same) {
-        if (!same) kept += std::string(kept.empty() ? "" : ", ") + field;
+        if (!same) restart_fields += std::string(restart_fields.empty() ? "" : ", ") + field;
       };
-      compare("name", fresh.name == config_.name);
-      compare("listen", fresh.listen == config_.listen);
-      compare("seed", fresh.seed == config_.seed);
-      compare("limits", fresh.limits == config_.limits);
-      compare("settings", fresh.settings == config_.settings);
-      compare("change_stream/enabled", fresh_operator.change_stream.enabled == change_stream_enabled_);
-      compare("flow_export/enabled", fresh_operator.flow_export.enabled == (flows_ != nullptr));
-      if (!kept.empty())
-        log_.info("changed_only_by_restart", "{}: changed only by a restart: {}", config_.name, kept);
+      compare("name", new_config.name == config_.name);
+      compare("listen", new_config.listen == config_.listen);
+      compare("seed", new_config.seed == config_.seed);
+      compare("limits", new_config.limits == config_.limits);
+      compare("settings", new_config.settings == config_.settings);
+      compare("change_stream/enabled", new_operator_file.change_stream.enabled == change_stream_enabled_);
+      compare("flow_export/enabled", new_operator_file.flow_export.enabled == (flow_exporter_ != nullptr));
+      if (!restart_fields.empty())
+        log_.info("changed_only_by_restart", "{}: takes effect only after a restart: {}", config_.name,
+                  restart_fields);
     } catch (const std::exception& error) {
       ++counters_.reloads_failed;
-      log_.warning("reload_failed", "{}: the configuration stays as it is: {}", config_.name, error.what());
+      log_.warning("reload_failed", "{}: reload failed, the previous configuration stays in use: {}",
+                   config_.name, error.what());
     }
   }
 
-  // New work still comes for a moment; then what has been taken is answered. All of it ends before the
-  // process may be killed, also where nodes stay silent or clients do not read.
-  Task<> leave() {
+  // Accepts new requests for a moment longer, then answers all that were accepted. All of it ends before the
+  // process may be killed, even if nodes stay silent or clients do not read.
+  Task<> shut_down() {
     const Seconds start = Scheduler::now();
-    module_.cap_deadlines(start + config_.limits.shutdown_answer_deadline);
+    director_.cap_deadlines(start + config_.limits.shutdown_answer_deadline);
     co_await scheduler_.sleep_until(start + config_.limits.drain_accept_window);
-    for (front_.close();
-         front_.clients() > 0 && Scheduler::now() < start + config_.limits.shutdown_close_deadline;
-         front_.close()) {
+    for (client_listener_.close();
+         client_listener_.clients() > 0 && Scheduler::now() < start + config_.limits.shutdown_close_deadline;
+         client_listener_.close()) {
       co_await scheduler_.sleep_until(Scheduler::now() + 0.01);
     }
-    if (flows_)
-      co_await flows_->finish(std::min(Scheduler::now() + config_.limits.flow_shutdown_timeout,
-                                       start + config_.limits.shutdown_exit_deadline));
+    if (flow_exporter_)
+      co_await flow_exporter_->finish(std::min(Scheduler::now() + config_.limits.flow_shutdown_timeout,
+                                               start + config_.limits.shutdown_exit_deadline));
     scheduler_.stop();
   }
 
   const Config& config_;
-  const std::string path_, operator_path_;
+  const std::string config_path_, operator_path_;
   Log& log_;
   Counters counters_;
   Scheduler scheduler_;
   transport::Signals signals_;
   const bool change_stream_enabled_;
-  std::unique_ptr<flow::Exporter> flows_;  // null: flows are not exported
-  routing::DirectorActor module_;
-  distribution::Subscription changes_;
-  routing::ClientListener front_;
+  std::unique_ptr<flow::Exporter> flow_exporter_;  // null: flows are not exported
+  routing::DirectorActor director_;
+  distribution::Subscription subscription_;
+  routing::ClientListener client_listener_;
 };
 
 }  // namespace
 
-int serve(const Config& config, const std::string& path, const std::string& operator_path, Log& log) {
+int serve(const Config& config, const std::string& config_path, const std::string& operator_path, Log& log) {
   signal(SIGPIPE, SIG_IGN);
-  signal(SIGXFSZ, SIG_IGN);  // a file at its limit is a write that fails, not an end
+  signal(SIGXFSZ, SIG_IGN);  // writing to a file at its size limit fails instead of ending the process
   const OperatorFile operator_file = load_operator_file(operator_path, config.memory);
   log.use(operator_file.log_form, operator_file.log_level);
-  Service(config, path, operator_file, operator_path, log).run();
+  Service(config, config_path, operator_file, operator_path, log).run();
   return 0;
 }
 
--- a/src/program/serve.hpp
+++ b/src/program/serve.hpp
@@ -1,4 +1,4 @@
-// One director at work, from its start to its end.
+// Runs one director, from startup to shutdown.
 #pragma once
 
 #include "base/counters.hpp"
@@ -7,12 +7,12 @@
 
 namespace hareramp::program {
 
-// Serves until SIGTERM or SIGINT, then answers what it has taken. Returns the exit status. SIGUSR1 prints
-// the counters, SIGHUP reads the configuration and the operator's file again, from the same paths.
-// operator_path is the operator's own file, as load_operator takes it.
-int serve(const Config& config, const std::string& path, const std::string& operator_path, Log& log);
+// Serves requests until SIGTERM or SIGINT, then answers all that were accepted. Returns the exit status.
+// SIGUSR1 prints the counters, SIGHUP reads the configuration and the operator's file again, from the same
+// paths. operator_path names the operator's file, as for load_operator_file.
+int serve(const Config& config, const std::string& config_path, const std::string& operator_path, Log& log);
 
-// All counters with a name each, one line.
+// All counters as name=value, on one line.
 std::string counters_line(const Counters& counters);
 
 }  // namespace hareramp::program
--- a/tests/program/program_test.cpp
+++ b/tests/program/program_test.cpp
@@ -116,8 +116,8 @@
       run_until(scheduler, [&] { return process.printed().find("counters taken=1") != std::string::npos; }));
 
   process.send(SIGTERM);
-  REQUIRE(run_until(scheduler,
-                    [&] { return process.printed().find("leaving, 1 requests") != std::string::npos; }));
+  REQUIRE(run_until(
+      scheduler, [&] { return process.printed().find("shutting down, 1 requests") != std::string::npos; }));
   const auto two = dial(scheduler, listen);  // in the window after SIGTERM
   two->send(put("0000000000000002"));
   REQUIRE(run_until(scheduler, [&] { return origin.has_received("serve 0000000000000002", 1); }));
@@ -153,13 +153,13 @@
   REQUIRE(run_until(scheduler, [&] { return origin.has_received("serve 0000000000000001"); }));
   std::ofstream(config.path) << before.substr(0, before.size() / 2);
   process.send(SIGHUP);
-  prints("the configuration stays as it is");
+  prints("reload failed, the previous configuration stays in use");
   std::string after = configuration(listen.text(), other.address.text(), origin.address.text());
   after.replace(after.find("\"memory_mb\":192"), 15, "\"memory_mb\":64");
   std::ofstream(config.path) << after;
   process.send(SIGHUP);
   REQUIRE(run_until(scheduler, [&] { return other.has_received("Last-Event-ID: 3"); }));
-  prints("changed only by a restart: limits");
+  prints("takes effect only after a restart: limits");
   origin.connections[0]->send("0000000000000001 ACK - 3\r\none\r\n");
   REQUIRE(run_until(scheduler, [&] { return client->heard.ends_with("one"); }));
   process.send(SIGUSR1);
--- a/tests/program/shutdown_test.cpp
+++ b/tests/program/shutdown_test.cpp
@@ -180,7 +180,7 @@
   }));
   site.process.send(SIGTERM);
   const Seconds start = Scheduler::now();
-  REQUIRE(site.until([&] { return site.process.has_printed("leaving"); }));
+  REQUIRE(site.until([&] { return site.process.has_printed("shutting down"); }));
   site.pass(kLateRequests - (Scheduler::now() - start));
   for (int number = 0; number < 5; ++number)
     open[static_cast<std::size_t>(number)]->send(number % 2 == 0 ? Site::get(20 + number, kDeadlineMs)
@@ -220,7 +220,7 @@
   for (int number = 1; number <= kRequests / 2; ++number) send(number);
   site.process.send(SIGTERM);
   const Seconds start = Scheduler::now();
-  REQUIRE(site.until([&] { return site.process.has_printed("leaving"); }));
+  REQUIRE(site.until([&] { return site.process.has_printed("shutting down"); }));
   for (int number = kRequests / 2 + 1; number <= kRequests; ++number) send(number);
   const auto all_answered = [&] {
     return std::all_of(clients.begin(), clients.end(),
