--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -1,8 +1,9 @@
-// A toy world for one director, to try it by hand: the change log, one cache node and the origin, in one
-// process on three ports of 127.0.0.1. It keeps what was fetched for ever and is no model of a real node.
+// Servers for trying one director by hand: the source of the change stream, one cache and the origin, in one
+// process on three ports of 127.0.0.1. The cache keeps what it fetched until it is purged, and doesn't model
+// a real node.
 //
-//   GET http://127.0.0.1:7100/changes        the change log, as directors follow it
-//   GET http://127.0.0.1:7100/purge/OBJECT   drops an object everywhere and tells it in the change log
+//   GET http://127.0.0.1:7100/changes        the change stream, as directors follow it
+//   GET http://127.0.0.1:7100/purge/OBJECT   purges an object, in the cache and by an event
 #include <fmt/format.h>
 
 #include <charconv>
@@ -24,120 +25,123 @@
 
 namespace {
 
-constexpr double kComment = 1.0;          // s between comments in the change log
-constexpr std::size_t kObject = 2000;     // bytes of every object
-constexpr std::size_t kReadRoom = 65536;  // bytes
+constexpr double kCommentInterval = 1.0;   // s between comments in the change stream
+constexpr std::size_t kObjectSize = 2000;  // bytes of every object
+constexpr std::size_t kReadSize = 65536;   // bytes
 
-class Toy {
+class ToyServer {
  public:
-  explicit Toy(Scheduler& scheduler) : scheduler_(scheduler) {}
+  explicit ToyServer(Scheduler& scheduler) : scheduler_(scheduler) {}
 
   void start() {
-    scheduler_.spawn(take("127.0.0.1:7100", &Toy::changes));
-    scheduler_.spawn(take("127.0.0.1:7101", &Toy::cache));
-    scheduler_.spawn(take("127.0.0.1:7102", &Toy::origin));
+    scheduler_.spawn(accept_connections("127.0.0.1:7100", &ToyServer::serve_changes));
+    scheduler_.spawn(accept_connections("127.0.0.1:7101", &ToyServer::serve_cache));
+    scheduler_.spawn(accept_connections("127.0.0.1:7102", &ToyServer::serve_origin));
   }
 
  private:
-  using Role = Task<> (Toy::*)(Socket);
+  using ConnectionHandler = Task<> (ToyServer::*)(Socket);
 
-  Task<> take(std::string at, Role role) {
-    transport::Listener listener(scheduler_, *transport::Address::parse(at), 64);
+  Task<> accept_connections(std::string address, ConnectionHandler handler) {
+    transport::Listener listener(scheduler_, *transport::Address::parse(address), 64);
     for (;;) {
       auto accepted = co_await listener.accept();
       if (accepted.end == transport::Listener::End::kTaken)
-        scheduler_.spawn((this->*role)(std::move(accepted.socket)));
+        scheduler_.spawn((this->*handler)(std::move(accepted.socket)));
     }
   }
 
-  // --- the change log ---
-  struct Asked : protocol::HttpHandler {
+  // --- the change stream ---
+  struct ReceivedRequest : protocol::HttpHandler {
     std::string target;
-    std::size_t after = 0;
-    void start_line(std::string_view, std::string_view what) override { target = what; }
+    std::size_t last_event_id = 0;
+    void start_line(std::string_view, std::string_view target_text) override { target = target_text; }
     void header(std::string_view name, std::string_view value) override {
       if (protocol::same_name(name, "last-event-id"))
-        std::from_chars(value.data(), value.data() + value.size(), after);
+        std::from_chars(value.data(), value.data() + value.size(), last_event_id);
     }
     void body(std::string_view) override {}
   };
 
-  Task<> changes(Socket socket) {
+  Task<> serve_changes(Socket socket) {
     transport::Buffer in(0);
     protocol::HttpParser parser(protocol::HttpParser::Message::kRequest, {8192, 0});
-    Asked asked;
+    ReceivedRequest request;
     for (auto step = protocol::HttpParser::Step::kMore; step != protocol::HttpParser::Step::kDone;) {
-      if (!(co_await socket.read(in, kReadRoom, transport::kNever)).ok()) co_return;
-      std::size_t used = 0;
-      step = parser.feed(in.view(), used, asked);
-      in.consume(used);
+      if (!(co_await socket.read(in, kReadSize, transport::kNever)).ok()) co_return;
+      std::size_t consumed = 0;
+      step = parser.feed(in.view(), consumed, request);
+      in.consume(consumed);
     }
     constexpr std::string_view kPurge = "/purge/";
-    if (asked.target.starts_with(kPurge)) {
-      const std::string object = asked.target.substr(kPurge.size());
-      std::erase_if(held_, [&](const std::string& unit) { return unit.starts_with(object + "/"); });
+    if (request.target.starts_with(kPurge)) {
+      const std::string object = request.target.substr(kPurge.size());
+      std::erase_if(cached_parts_,
+                    [&](const std::string& part_key) { return part_key.starts_with(object + "/"); });
       events_.push_back(fmt::format(R"({{"seq":{},"invalidate":{{"object":"{}","time":{:.0f}}}}})",
                                     events_.size() + 1, object, transport::Clock::unix_now() * 1000));
       co_await socket.write(protocol::http_answer(200, "", 7, false) + "purged\n", transport::kNever);
       co_return;
     }
     std::string text = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-    for (std::size_t sent = asked.after;;) {
+    for (std::size_t sent = request.last_event_id;;) {
       for (; sent < events_.size(); ++sent)
         text += fmt::format("id: {}\ndata: {}\n\n", sent + 1, events_[sent]);
       if (!(co_await socket.write(text, transport::kNever)).ok()) co_return;
-      co_await scheduler_.sleep_until(Scheduler::now() + kComment);
+      co_await scheduler_.sleep_until(Scheduler::now() + kCommentInterval);
       text = ": still here\n\n";
     }
   }
 
   // --- the nodes ---
-  static std::string word_of(const std::string& line, std::size_t place) {
+  static std::string nth_word(const std::string& line, std::size_t index) {
     std::size_t from = 0;
-    for (; place > 0 && from != std::string::npos; --place) from = line.find(' ', from) + 1;
+    for (; index > 0 && from != std::string::npos; --index) from = line.find(' ', from) + 1;
     return line.substr(from, line.find(' ', from) - from);
   }
-  static std::string field(const std::string& fields, const std::string& name) {
-    const std::string all = "," + fields + ",";
-    const auto at = all.find("," + name + "=");
+  static std::string field_value(const std::string& fields, const std::string& name) {
+    const std::string padded = "," + fields + ",";
+    const auto at = padded.find("," + name + "=");
     if (at == std::string::npos) return "";
     const auto from = at + name.size() + 2;
-    return all.substr(from, all.find(',', from) - from);
+    return padded.substr(from, padded.find(',', from) - from);
   }
   std::string answer(const std::string& id, const char* why) const {
     std::string line = fmt::format("{} ACK sum=toy,t0={:.0f},why={} {}\r\n", id,
-                                   transport::Clock::unix_now() * 1000, why, kObject);
-    return line.append(kObject, '.').append("\r\n");
+                                   transport::Clock::unix_now() * 1000, why, kObjectSize);
+    return line.append(kObjectSize, '.').append("\r\n");
   }
 
-  Task<> cache(Socket socket) { return node(std::move(socket), false); }
-  Task<> origin(Socket socket) { return node(std::move(socket), true); }
+  Task<> serve_cache(Socket socket) { return serve_node(std::move(socket), false); }
+  Task<> serve_origin(Socket socket) { return serve_node(std::move(socket), true); }
 
-  Task<> node(Socket socket, bool is_origin) {
+  Task<> serve_node(Socket socket, bool is_origin) {
     transport::Buffer in(0);
-    while ((co_await socket.read(in, kReadRoom, transport::kNever)).ok()) {
+    while ((co_await socket.read(in, kReadSize, transport::kNever)).ok()) {
       for (;;) {
         const auto end = in.view().find("\r\n");
         if (end == std::string_view::npos) break;
         const std::string line(in.view().substr(0, end));
-        if (!line.starts_with("serve ")) {  // a cancel: everything here is answered at once
+        // A cancel has no effect: every request is answered at once.
+        if (!line.starts_with("serve ")) {
           in.consume(end + 2);
           continue;
         }
         std::size_t length = 0;
-        const std::string last = word_of(line, 3);
-        std::from_chars(last.data(), last.data() + last.size(), length);
+        const std::string length_text = nth_word(line, 3);
+        std::from_chars(length_text.data(), length_text.data() + length_text.size(), length);
         if (in.size() < end + 2 + length + 2) break;
         in.consume(end + 2 + length + 2);
-        const std::string id = word_of(line, 1), fields = word_of(line, 2);
-        const std::string unit = field(fields, "name") + "/" + field(fields, "piece");
-        const bool hit = is_origin || held_.contains(unit), filled = !hit && !field(fields, "next").empty();
+        const std::string id = nth_word(line, 1), fields = nth_word(line, 2);
+        const std::string part_key = field_value(fields, "name") + "/" + field_value(fields, "piece");
+        const bool hit = is_origin || cached_parts_.contains(part_key),
+                   filled = !hit && !field_value(fields, "next").empty();
         fmt::print("{:<6} {:<4} {}\n", is_origin ? "origin" : "cache",
                    hit      ? "hit"
                    : filled ? "fill"
                             : "miss",
-                   unit);
-        if (filled && field(fields, "admit") != "") held_.insert(unit);
+                   part_key);
+        if (filled && field_value(fields, "admit") != "") cached_parts_.insert(part_key);
         std::string reply = id + " NOENT why=absent 0\r\n\r\n";
         if (hit || filled) reply = answer(id, hit ? "mem" : "origin");
         co_await socket.write(reply, transport::kNever);
@@ -146,8 +150,8 @@
   }
 
   Scheduler& scheduler_;
-  std::set<std::string> held_;
-  // Event 1 is the list, as in the configuration of examples/.
+  std::set<std::string> cached_parts_;
+  // Event 1 is the endpoint list, the same as in examples/config.json.
   std::vector<std::string> events_ = {
       R"({"seq":1,"fleet":{"version":1,"full":true,"servers":[)"
       R"({"id":"cache-1","addr":"127.0.0.1:7101","zone":"edge","kind":"cache","cell":0,"state":"active","weight":8,"started_ms":0},)"
@@ -166,7 +170,7 @@
     }
   };
   setvbuf(stdout, nullptr, _IOLBF, 0);
-  Toy toy(scheduler);
-  toy.start();
+  ToyServer server(scheduler);
+  server.start();
   scheduler.run();
 }
--- a/examples/world.sh
+++ b/examples/world.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The main job, whole: a toy world, a director, some requests, its counters, and a clean end. With --flows the
-# director also sends flow records to a collector at 127.0.0.1:4739. BUILD names the build folder.
+# Runs the main use case end to end: the toy servers, a director, some requests, its counters and a clean shutdown.
+# With --flows the director also sends flow records to a collector at 127.0.0.1:4739. BUILD names the build folder.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
@@ -21,5 +21,5 @@
 sleep 1.2
 request a4 segment 7f3a
 kill -USR1 "$director"; sleep 0.2
-kill "$director"; wait "$director" && echo "the director left with status 0"
+kill "$director"; wait "$director" && echo "the director exited with status 0"
 cat "$log"
