--- a/tests/program/operator_test.cpp
+++ b/tests/program/operator_test.cpp
@@ -1,4 +1,5 @@
-// The operator's file: the shipped example, the schema, and each kind of slip with what is said of it.
+// The operator's file: the shipped example, and each kind of error (violations of the schema among them) with
+// its message.
 #include "program/operator.hpp"
 
 #include <filesystem>
@@ -10,17 +11,17 @@
 using program::parse_operator_file;
 
 namespace {
-std::string said(const std::string& text) {
+std::string parse_result(const std::string& text) {
   try {
     parse_operator_file(text, "FILE", 192 << 20);
-    return "taken\n";
+    return "accepted\n";
   } catch (const program::ConfigError& error) {
     return std::string(error.what()) + "\n";
   }
 }
 }  // namespace
 
-TEST_CASE("the shipped example is taken and switches nothing on") {
+TEST_CASE("the shipped example is valid and enables nothing") {
   const auto file =
       program::load_operator_file(std::string(HARERAMP_SOURCE) + "/deploy/operator.json", 192 << 20);
   CHECK_FALSE(file.flow_export.enabled);
@@ -33,9 +34,10 @@
   CHECK_THROWS_AS(program::load_operator_file("/nowhere/operator.json", 1 << 20), program::ConfigError);
 }
 
-TEST_CASE("slips in the operator's file are named by file, pointer, what is there and what is wanted") {
+TEST_CASE(
+    "errors in the operator's file are reported with file, pointer, what was found and what is wanted") {
   std::string trace;
-  const std::string start =
+  const std::string export_start =
       R"({"flow_export": {"enabled": true, "collectors": [{"address": "127.0.0.1:4739"}])";
   for (
       const std::string& text :
@@ -47,15 +49,15 @@
        std::string(R"({"flow_export": {}})"),
        std::string(R"({"flow_export": {"enabled": "yes"}})"),
        std::string(R"({"flow_export": {"enabled": true}})"),
-       start + R"(, "active_timeout_s": 0}})",
-       start + R"(, "message_bytes": 70000}})",
-       start + R"(, "observation_domain": 1.5}})",
-       start + R"(, "networks": [{"prefix": "10.0.0.0/8"}]}})",
-       start + R"(, "networks": [{"prefix": "10.0.0.1/8", "depot": "a"}]}})",
-       start +
+       export_start + R"(, "active_timeout_s": 0}})",
+       export_start + R"(, "message_bytes": 70000}})",
+       export_start + R"(, "observation_domain": 1.5}})",
+       export_start + R"(, "networks": [{"prefix": "10.0.0.0/8"}]}})",
+       export_start + R"(, "networks": [{"prefix": "10.0.0.1/8", "depot": "a"}]}})",
+       export_start +
            R"(, "networks": [{"prefix": "10.0.0.0/8", "depot": "a"}, {"prefix": "10.0.0.0/8", "depot": "b"}]}})",
-       start + R"(, "spool": {"enabled": true}}})",
-       start + R"(, "colectors": []}})",
+       export_start + R"(, "spool": {"enabled": true}}})",
+       export_start + R"(, "colectors": []}})",
        std::string(R"({"flow_export": {"enabled": true, "collectors": [{"address": "collector:4739"}]}})"),
        std::string(R"({"flow_export": {"enabled": true, "collectors": [{"address": "127.0.0.1:99999"}]}})"),
        std::string(R"({"flow_export": {"enabled": true, "collectors": [{"address": "127.0.0.1:1"},
@@ -72,7 +74,7 @@
        std::string(R"({"relay": {"enabled": false, "tick_s": 5}})"),
        std::string(R"({"change_stream": {"enabled": true, "relays": ["127.0.0.1:1", "[::1]:2"]}})"),
        std::string(R"({"relay": {"enabled": true, "listen": "[::1]:1", "sources": ["127.0.0.1:1"]}})"),
-       start + "}}"})
-    trace += said(text);
+       export_start + "}}"})
+    trace += parse_result(text);
   check_trace("operator_slips", trace);
 }
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -1,6 +1,6 @@
-// What the platform asks of the line `run` in the deploy file, held against the program that it starts: one
-// process in the place of the shell, one thread, the dynamic C library, IPv4 sockets of TCP and UDP, nothing
-// that starts programs or copies by the kernel, and everything of the operator's file off.
+// Checks the program that the line `run` of the deploy file starts against what the platform requires: one
+// process in place of the shell, one thread, the dynamic C library, only IPv4 sockets of TCP and UDP, no
+// calls that start programs or copy data within the kernel, and every feature of the operator's file off.
 #include <elf.h>
 #include <signal.h>
 #include <unistd.h>
@@ -26,7 +26,7 @@
   return text.str();
 }
 
-// The value of a key that stands alone on its line in the deploy file.
+// The value of a key that has a line of its own in the deploy file.
 std::string deploy_value(const std::string& key) {
   std::smatch found;
   const std::string text = file_text(std::string(HARERAMP_SOURCE) + "/deploy/balancer.toml");
@@ -42,39 +42,39 @@
   return "";
 }
 
-// Numbers of the sockets in one of the kernel's tables, which has them in this column.
-std::set<std::string> socket_numbers(const files::path& table, int column) {
-  std::set<std::string> numbers;
+// Inode numbers of the sockets in one of the kernel's tables, which lists them in this column.
+std::set<std::string> socket_inodes(const files::path& table, int column) {
+  std::set<std::string> inodes;
   std::istringstream lines(file_text(table));
   for (std::string line; std::getline(lines, line);) {
     std::istringstream words(line);
     std::string word;
     for (int i = 0; i <= column; ++i) words >> word;
-    numbers.insert(word);
+    inodes.insert(word);
   }
-  return numbers;
+  return inodes;
 }
 
-// What the descriptors of a process are, socket or other, one word each.
-std::multiset<std::string> descriptors(const files::path& proc) {
-  const std::map<std::string, std::set<std::string>> tables = {
-      {"tcp", socket_numbers(proc / "net/tcp", 9)},
-      {"udp", socket_numbers(proc / "net/udp", 9)},
-      {"tcp6", socket_numbers(proc / "net/tcp6", 9)},
-      {"udp6", socket_numbers(proc / "net/udp6", 9)},
-      {"unix", socket_numbers(proc / "net/unix", 6)}};
+// The kind of each descriptor of a process: the kernel's table for a socket, the name of an anonymous inode,
+// or "file".
+std::multiset<std::string> descriptor_kinds(const files::path& proc) {
+  const std::map<std::string, std::set<std::string>> tables = {{"tcp", socket_inodes(proc / "net/tcp", 9)},
+                                                               {"udp", socket_inodes(proc / "net/udp", 9)},
+                                                               {"tcp6", socket_inodes(proc / "net/tcp6", 9)},
+                                                               {"udp6", socket_inodes(proc / "net/udp6", 9)},
+                                                               {"unix", socket_inodes(proc / "net/unix", 6)}};
   std::multiset<std::string> kinds;
   for (const auto& entry : files::directory_iterator(proc / "fd")) {
-    std::error_code gone;
-    const std::string to = files::read_symlink(entry.path(), gone).string();
-    if (gone) continue;
-    if (!to.starts_with("socket:[")) {
-      kinds.insert(to.starts_with("anon_inode:") ? to.substr(11) : "file");
+    std::error_code error;
+    const std::string target = files::read_symlink(entry.path(), error).string();
+    if (error) continue;
+    if (!target.starts_with("socket:[")) {
+      kinds.insert(target.starts_with("anon_inode:") ? target.substr(11) : "file");
       continue;
     }
-    const std::string number = to.substr(8, to.size() - 9);
+    const std::string inode = target.substr(8, target.size() - 9);
     const auto found = std::find_if(tables.begin(), tables.end(),
-                                    [&](const auto& table) { return table.second.contains(number); });
+                                    [&](const auto& table) { return table.second.contains(inode); });
     kinds.insert(found == tables.end() ? "socket without a table" : found->first);
   }
   return kinds;
@@ -88,8 +88,8 @@
   return children;
 }
 
-// Hundredths of a second of processor time.
-long used(const files::path& proc) {
+// The processor time that a process has used, in hundredths of a second.
+long processor_time(const files::path& proc) {
   const std::string text = file_text(proc / "stat");
   std::istringstream words(text.substr(text.rfind(')') + 2));
   std::string word;
@@ -99,24 +99,25 @@
   return (user + system) * 100 / sysconf(_SC_CLK_TCK);
 }
 
-// Names that an ELF file wants from its libraries.
-std::set<std::string> asked_for(const std::string& file) {
+// The names that an ELF file imports from its libraries.
+std::set<std::string> imported_names(const std::string& file) {
   std::set<std::string> names;
   const auto* header = reinterpret_cast<const Elf64_Ehdr*>(file.data());
   const auto* sections = reinterpret_cast<const Elf64_Shdr*>(file.data() + header->e_shoff);
   for (int i = 0; i < header->e_shnum; ++i) {
     if (sections[i].sh_type != SHT_DYNSYM) continue;
-    const char* words = file.data() + sections[sections[i].sh_link].sh_offset;
+    const char* string_table = file.data() + sections[sections[i].sh_link].sh_offset;
     const auto* symbols = reinterpret_cast<const Elf64_Sym*>(file.data() + sections[i].sh_offset);
-    for (std::size_t k = 0; k < sections[i].sh_size / sizeof(Elf64_Sym); ++k)
-      if (symbols[k].st_shndx == SHN_UNDEF) names.insert(words + symbols[k].st_name);
+    for (std::size_t symbol = 0; symbol < sections[i].sh_size / sizeof(Elf64_Sym); ++symbol)
+      if (symbols[symbol].st_shndx == SHN_UNDEF) names.insert(string_table + symbols[symbol].st_name);
   }
   return names;
 }
 
 }  // namespace
 
-TEST_CASE("the deploy file's run: one process by exec, one thread, TCP over IPv4, and idle when idle") {
+TEST_CASE(
+    "the deploy file's run: one process by exec, one thread, TCP over IPv4, and no busy loop when idle") {
   std::string run = deploy_value("run");
   CHECK(run.starts_with("exec build/hareramp serve"));
   CHECK(run.find("operator") == std::string::npos);
@@ -124,11 +125,11 @@
   run.replace(run.find("build/hareramp "), 14, HARERAMP_BINARY);
 
   Scheduler scheduler;
-  rig::QuietChangeLog changes(scheduler);
+  rig::QuietChangeLog change_stream(scheduler);
   rig::Node cache(scheduler, {{"segment", 3000}}, {}, 1), origin(scheduler, {{"segment", 3000}}, {}, 2);
   const transport::Address listen = unused_address(scheduler);
   rig::Site site;
-  site.listen = listen.text(), site.change_log = changes.address().text();
+  site.listen = listen.text(), site.change_log = change_stream.address().text();
   site.caches = {{"c1", cache.address().text()}}, site.origin = origin.address().text();
   std::string config = files::temp_directory_path() / "hareramp-platform-XXXXXX";
   ::close(mkstemp(config.data()));
@@ -143,21 +144,21 @@
     CHECK(client.tally().completed == 20);
 
     const files::path proc = "/proc/" + std::to_string(director.id());
-    CHECK(status_field(proc, "Name") == "hareramp");  // the shell is gone
+    CHECK(status_field(proc, "Name") == "hareramp");  // exec has replaced the shell
     CHECK(status_field(proc, "Threads") == "1");
     CHECK(children_of(director.id()).empty());
     CHECK(file_text(proc / "maps").find("/libc.so.6") != std::string::npos);
-    for (const std::string& kind : descriptors(proc)) {
-      const std::set<std::string> wanted = {"file", "tcp", "[eventpoll]", "[signalfd]"};
-      CHECK_MESSAGE(wanted.contains(kind), kind);
+    for (const std::string& kind : descriptor_kinds(proc)) {
+      const std::set<std::string> allowed = {"file", "tcp", "[eventpoll]", "[signalfd]"};
+      CHECK_MESSAGE(allowed.contains(kind), kind);
     }
-    CHECK(descriptors(proc).count("tcp") >= 2);  // the check sees sockets at all
+    CHECK(descriptor_kinds(proc).count("tcp") >= 2);  // makes sure that sockets are recognised at all
 
-    // A thread that spins would use all of this second, or what of it a busy machine gives.
-    const long before = used(proc);
+    // A busy loop would use all of this second, or as much of it as a busy machine gives.
+    const long time_before = processor_time(proc);
     const Seconds start = Scheduler::now();
     REQUIRE(run_until(scheduler, [&] { return Scheduler::now() > start + 1; }));
-    CHECK(used(proc) - before < 10);
+    CHECK(processor_time(proc) - time_before < 10);
     director.send(SIGTERM);
     REQUIRE(run_until(scheduler, [&] { return director.ended(); }));
     CHECK(director.status() == 0);
@@ -166,16 +167,16 @@
   files::remove(config);
 }
 
-TEST_CASE("the program itself asks the C library for nothing that the platform refuses") {
-  const auto names = asked_for(file_text(HARERAMP_BINARY));
-  CHECK(names.contains("accept4"));  // the check sees names at all
+TEST_CASE("the program imports nothing from the C library that the platform forbids") {
+  const auto names = imported_names(file_text(HARERAMP_BINARY));
+  CHECK(names.contains("accept4"));  // makes sure that names are read at all
   for (const char* name : {"fork", "vfork", "clone", "execve", "execv", "execvp", "posix_spawn",
                            "posix_spawnp", "system", "popen", "splice", "vmsplice", "tee", "sendfile",
                            "sendfile64", "io_uring_setup", "io_uring_queue_init", "dlopen"})
     CHECK_MESSAGE(!names.contains(name), name);
 }
 
-TEST_CASE("the shipped operator's file has everything off") {
+TEST_CASE("the shipped operator's file enables nothing") {
   const std::string text = file_text(std::string(HARERAMP_SOURCE) + "/deploy/operator.json");
   CHECK(text.find("\"enabled\": false") != std::string::npos);
   CHECK_FALSE(std::regex_search(text, std::regex("\"enabled\"\\s*:\\s*true")));
--- a/tests/program/shutdown_test.cpp
+++ b/tests/program/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// The program's end by SIGTERM while nodes stay silent and clients do not read: everybody gets a final
-// answer.
+// Shutdown by SIGTERM while nodes stay silent and clients do not read: every request gets a final answer
+// before the program exits.
 #include <signal.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -15,29 +15,29 @@
 
 namespace {
 
-struct File {
-  explicit File(const std::string& text) {
+struct TemporaryFile {
+  explicit TemporaryFile(const std::string& text) {
     path = std::filesystem::temp_directory_path() / "hareramp-test-XXXXXX";
     ::close(mkstemp(path.data()));
     std::ofstream(path) << text;
   }
-  ~File() { std::filesystem::remove(path); }
+  ~TemporaryFile() { std::filesystem::remove(path); }
   std::string path;
 };
 
-// The real program in front of one cache and an origin that answer only what a test lets them.
+// The real program with one cache and an origin, which answer only when a test makes them.
 class Site {
  public:
   explicit Site(double deadline)
       : listen(unused_address(scheduler)),
-        config(text(deadline)),
+        config(configuration(deadline)),
         process(HARERAMP_BINARY, {"serve", "--config", config.path}) {
-    CHECK(until([&] { return process.has_printed("serving"); }));
+    CHECK(wait_until([&] { return process.has_printed("serving"); }));
   }
-  bool until(const std::function<bool()>& holds) { return run_until(scheduler, holds); }
-  void pass(Seconds time) {
-    const Seconds then = Scheduler::now() + time;
-    until([&] { return Scheduler::now() >= then; });
+  bool wait_until(const std::function<bool()>& condition) { return run_until(scheduler, condition); }
+  void wait_for(Seconds duration) {
+    const Seconds end_time = Scheduler::now() + duration;
+    wait_until([&] { return Scheduler::now() >= end_time; });
   }
   std::shared_ptr<TestConnection> send(const std::string& request) {
     auto client = dial(scheduler, listen);
@@ -58,18 +58,18 @@
     const std::string digits = std::to_string(number);
     return std::string(16 - digits.size(), '0') + digits;
   }
-  // An attempt of the request has reached a node.
-  bool is_out(int number) const {
+  // Whether an attempt of the request has reached a node.
+  bool has_reached_node(int number) const {
     for (const StandInServer* node : {&cache, &origin})
-      for (const auto& end : node->connections)
-        if (end->has_received("serve " + id(number))) return true;
+      for (const auto& connection : node->connections)
+        if (connection->has_received("serve " + id(number))) return true;
     return false;
   }
 
   Scheduler scheduler;
-  StandInServer cache{scheduler}, origin{scheduler}, changes{scheduler};
+  StandInServer cache{scheduler}, origin{scheduler}, change_stream{scheduler};
   const transport::Address listen;
-  const File config;
+  const TemporaryFile config;
   rig::Process process;
 
  private:
@@ -77,35 +77,36 @@
     return R"({"id":")" + id + R"(","addr":")" + node.address.text() + R"(","zone":"hub","kind":")" + kind +
            R"(","cell":1,"state":"active","weight":60,"started_ms":0})";
   }
-  std::string text(double deadline) const {
-    const std::string limit = R"("DeadlineS":)" + std::to_string(deadline) + R"(,"PromiseS":0.3)";
+  std::string configuration(double deadline) const {
+    const std::string class_limits = R"("DeadlineS":)" + std::to_string(deadline) + R"(,"PromiseS":0.3)";
     return R"({"name":"n3","listen":")" + listen.text() +
            R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"changelog":")" +
-           changes.address.text() +
+           change_stream.address.text() +
            R"(","known":{"seq":3,"results":[{"seq":1,"fleet":{"full":true,"servers":[)" +
            entry("c1", cache, "cache") + "," + entry("O", origin, "origin") +
            R"(]}}]},"settings":{"Kinds":["cache","parent","origin"],"Zones":["hub"],"Locality":0,
     "FamilyInfo":{"OriginKind":2,"ShieldKind":1,"Direct":true,"GoesThrough":[false,true]},"Weights":"nominal",
     "Permissions":{"MaxAttempts":6,"Cancel":true},"RequestClasses":[{"Name":"read","Effect":"retryable",)" +
-           limit + R"(},{"Name":"write","Effect":"fragile",)" + limit + "}]}}";
+           class_limits + R"(},{"Name":"write","Effect":"fragile",)" + class_limits + "}]}}";
   }
 };
 
-// A connection that is never read from, with little room for what comes.
-class DeafClient {
+// A client that never reads its answers, with a small receive buffer.
+class NonReadingClient {
  public:
-  DeafClient(const transport::Address& to, const std::string& request) {
-    const int room = 2048;
-    setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
+  NonReadingClient(const transport::Address& to, const std::string& request) {
+    const int receive_buffer = 2048;
+    setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
     const std::string address = to.text();
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    at.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1))));
-    REQUIRE(connect(socket_, reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0);
+    sockaddr_in destination{};
+    destination.sin_family = AF_INET;
+    destination.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    destination.sin_port =
+        htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.rfind(':') + 1))));
+    REQUIRE(connect(socket_, reinterpret_cast<const sockaddr*>(&destination), sizeof destination) == 0);
     REQUIRE(write(socket_, request.data(), request.size()) == static_cast<ssize_t>(request.size()));
   }
-  ~DeafClient() { close(socket_); }
+  ~NonReadingClient() { close(socket_); }
 
  private:
   const int socket_ = socket(AF_INET, SOCK_STREAM, 0);
@@ -115,7 +116,7 @@
 
 }  // namespace
 
-TEST_CASE("the times after SIGTERM follow from the longest deadline, as far as it counts") {
+TEST_CASE("the times after SIGTERM follow from the longest deadline, up to 3 s") {
   const auto limits_of = [](const std::string& deadlines) {
     return program::fill_limits(*protocol::Json::parse("{}"),
                                 *protocol::Json::parse("{\"RequestClasses\":[" + deadlines + "]}"));
@@ -138,78 +139,81 @@
 
 TEST_CASE(
     "SIGTERM with deadlines of 6 s, silent nodes and a client that does not read: all answered, then the "
-    "end") {
+    "program exits") {
   constexpr int kDeadlineMs = 6000;
   constexpr Seconds kLateRequests = 0.55;  // s after SIGTERM
-  // SIGKILL comes at 3.7 s. The verdict leaves room for busy cores; a deadline that is not cut takes 6 s.
+  // SIGKILL comes at 3.7 s. The bound allows for busy cores; a deadline that is not shortened would take 6 s.
   constexpr Seconds kBound = 5;
   Site site(6);
-  std::vector<std::shared_ptr<TestConnection>> reads, writes, open;
-  for (int number = 0; number < 5; ++number) open.push_back(dial(site.scheduler, site.listen));
-  // More answers than all buffers on the way hold: one of them waits in the director.
-  constexpr int kFirstOfDeaf = 100, kOfDeaf = 24;
+  std::vector<std::shared_ptr<TestConnection>> readers, writers, idle_clients;
+  for (int number = 0; number < 5; ++number) idle_clients.push_back(dial(site.scheduler, site.listen));
+  // More answers than all buffers on the way can hold, so that one of them waits in the director.
+  constexpr int kFirstUnread = 100, kUnreadRequests = 24;
   std::string pipelined;
-  for (int number = kFirstOfDeaf; number < kFirstOfDeaf + kOfDeaf; ++number)
+  for (int number = kFirstUnread; number < kFirstUnread + kUnreadRequests; ++number)
     pipelined += Site::get(number, kDeadlineMs);
-  const DeafClient deaf(site.listen, pipelined);
-  int next = kFirstOfDeaf;
-  std::string rest;
-  const auto answer_deaf = [&] {
-    if (rest.empty() && next < kFirstOfDeaf + kOfDeaf && site.is_out(next))
-      rest = Site::id(next++) + " ACK - 500000\r\n" + std::string(500'000, 'x') + "\r\n";
-    if (!rest.empty()) rest.erase(0, site.cache.connections[0]->try_send(rest));
+  const NonReadingClient non_reading_client(site.listen, pipelined);
+  int next_unread = kFirstUnread;
+  std::string unsent_bytes;
+  const auto answer_unread = [&] {
+    if (unsent_bytes.empty() && next_unread < kFirstUnread + kUnreadRequests &&
+        site.has_reached_node(next_unread))
+      unsent_bytes = Site::id(next_unread++) + " ACK - 500000\r\n" + std::string(500'000, 'x') + "\r\n";
+    if (!unsent_bytes.empty()) unsent_bytes.erase(0, site.cache.connections[0]->try_send(unsent_bytes));
   };
-  REQUIRE(site.until([&] {
-    answer_deaf();
-    return next > kFirstOfDeaf + 1;
+  REQUIRE(site.wait_until([&] {
+    answer_unread();
+    return next_unread > kFirstUnread + 1;
   }));
 
   for (int number = 1; number <= 5; ++number) {
-    reads.push_back(site.send(Site::get(number, kDeadlineMs)));
-    writes.push_back(site.send(Site::put(10 + number, kDeadlineMs)));
+    readers.push_back(site.send(Site::get(number, kDeadlineMs)));
+    writers.push_back(site.send(Site::put(10 + number, kDeadlineMs)));
   }
-  // A read may be rejected at once, when the silent cache has been left out.
-  REQUIRE(site.until([&] {
-    answer_deaf();
+  // A read may be rejected at once if the silent cache has been ejected.
+  REQUIRE(site.wait_until([&] {
+    answer_unread();
     for (int number = 1; number <= 5; ++number) {
       const bool is_read_settled =
-          site.is_out(number) || is_answered(*reads[static_cast<std::size_t>(number - 1)]);
-      if (!is_read_settled || !site.is_out(10 + number)) return false;
+          site.has_reached_node(number) || is_answered(*readers[static_cast<std::size_t>(number - 1)]);
+      if (!is_read_settled || !site.has_reached_node(10 + number)) return false;
     }
     return true;
   }));
   site.process.send(SIGTERM);
   const Seconds start = Scheduler::now();
-  REQUIRE(site.until([&] { return site.process.has_printed("shutting down"); }));
-  site.pass(kLateRequests - (Scheduler::now() - start));
+  REQUIRE(site.wait_until([&] { return site.process.has_printed("shutting down"); }));
+  site.wait_for(kLateRequests - (Scheduler::now() - start));
   for (int number = 0; number < 5; ++number)
-    open[static_cast<std::size_t>(number)]->send(number % 2 == 0 ? Site::get(20 + number, kDeadlineMs)
-                                                                 : Site::put(20 + number, kDeadlineMs));
+    idle_clients[static_cast<std::size_t>(number)]->send(
+        number % 2 == 0 ? Site::get(20 + number, kDeadlineMs) : Site::put(20 + number, kDeadlineMs));
   const auto all_answered = [&] {
-    for (const auto* clients : {&reads, &writes, &open})
+    for (const auto* clients : {&readers, &writers, &idle_clients})
       for (const auto& client : *clients)
         if (!is_answered(*client)) return false;
     return true;
   };
-  REQUIRE(site.until([&] {
-    answer_deaf();
+  REQUIRE(site.wait_until([&] {
+    answer_unread();
     return all_answered() || site.process.ended();
   }));
   const Seconds answered = Scheduler::now() - start;
   CHECK(all_answered());
-  REQUIRE(site.until([&] { return site.process.ended(); }));
+  REQUIRE(site.wait_until([&] { return site.process.ended(); }));
   MESSAGE("answered " << answered << " s, ended " << Scheduler::now() - start << " s after SIGTERM");
   CHECK(answered < kBound);
   CHECK(Scheduler::now() - start < kBound);
   CHECK(site.process.status() == 0);
-  CHECK(next < kFirstOfDeaf + kOfDeaf);
-  for (const auto& client : reads) CHECK(client->heard.starts_with("HTTP/1.1 503"));
-  for (const auto& client : writes) CHECK(client->heard.starts_with("HTTP/1.1 500"));
+  CHECK(next_unread < kFirstUnread + kUnreadRequests);
+  for (const auto& client : readers) CHECK(client->heard.starts_with("HTTP/1.1 503"));
+  for (const auto& client : writers) CHECK(client->heard.starts_with("HTTP/1.1 500"));
 }
 
-TEST_CASE("SIGTERM under load with deadlines of 0.4 s: all that were taken are answered, then the end") {
+TEST_CASE(
+    "SIGTERM under load with deadlines of 0.4 s: all accepted requests are answered, then the program "
+    "exits") {
   constexpr int kDeadlineMs = 400, kRequests = 100;
-  constexpr Seconds kBound = 4;  // SIGKILL comes at 1.1 s; the verdict leaves room for busy cores
+  constexpr Seconds kBound = 4;  // SIGKILL comes at 1.1 s; the bound allows for busy cores
   Site site(0.4);
   std::vector<std::shared_ptr<TestConnection>> clients;
   for (int number = 1; number <= kRequests; ++number) clients.push_back(dial(site.scheduler, site.listen));
@@ -220,16 +224,16 @@
   for (int number = 1; number <= kRequests / 2; ++number) send(number);
   site.process.send(SIGTERM);
   const Seconds start = Scheduler::now();
-  REQUIRE(site.until([&] { return site.process.has_printed("shutting down"); }));
+  REQUIRE(site.wait_until([&] { return site.process.has_printed("shutting down"); }));
   for (int number = kRequests / 2 + 1; number <= kRequests; ++number) send(number);
   const auto all_answered = [&] {
     return std::all_of(clients.begin(), clients.end(),
                        [](const auto& client) { return is_answered(*client); });
   };
-  REQUIRE(site.until([&] { return all_answered() || site.process.ended(); }));
+  REQUIRE(site.wait_until([&] { return all_answered() || site.process.ended(); }));
   const Seconds answered = Scheduler::now() - start;
   CHECK(all_answered());
-  REQUIRE(site.until([&] { return site.process.ended(); }));
+  REQUIRE(site.wait_until([&] { return site.process.ended(); }));
   MESSAGE("answered " << answered << " s, ended " << Scheduler::now() - start << " s after SIGTERM");
   CHECK(Scheduler::now() - start < kBound);
   CHECK(site.process.status() == 0);
