--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -43,7 +43,7 @@
   return relay(load_operator_file(paths.operator_file, kDefaultMemory), paths.operator_file, log);
 }
 
-void print_operator(const OperatorFile& file, std::FILE* out) {
+void print_operator_file(const OperatorFile& file, std::FILE* out) {
   if (file.change_stream.enabled)
     fmt::print(out, "operator's file: change stream from {} relays\n", file.change_stream.relays.size());
   if (file.relay.enabled)
@@ -62,7 +62,7 @@
   const bool operator_file_only =
       paths.config.empty() && !std::getenv("EDGE_CONFIG") && !paths.operator_file.empty();
   if (operator_file_only) {
-    print_operator(load_operator_file(paths.operator_file, kDefaultMemory), out);
+    print_operator_file(load_operator_file(paths.operator_file, kDefaultMemory), out);
     return 0;
   }
   const Config config = load_config(paths.config);
@@ -78,7 +78,8 @@
   fmt::print(out, "limits: {} clients, {} connections to nodes, {} MB of answers waiting for slow clients\n",
              config.limits.max_clients, config.limits.max_node_connections,
              config.limits.max_pending_answers >> 20);
-  if (!paths.operator_file.empty() || std::getenv("HARERAMP_OPERATOR")) print_operator(operator_file, out);
+  if (!paths.operator_file.empty() || std::getenv("HARERAMP_OPERATOR"))
+    print_operator_file(operator_file, out);
   return 0;
 }
 
@@ -160,19 +161,20 @@
 }  // namespace
 
 int run_command(int argument_count, const char* const* arguments, std::FILE* out, std::FILE* err) {
-  const std::vector<std::string> given(arguments + 1, arguments + argument_count);
-  if (given.empty()) {
+  const std::vector<std::string> user_arguments(arguments + 1, arguments + argument_count);
+  if (user_arguments.empty()) {
     print_usage(err);
     return 2;
   }
-  if (given[0] == "--help" || given[0] == "help") {
+  if (user_arguments[0] == "--help" || user_arguments[0] == "help") {
     print_usage(out);
     return 0;
   }
-  const std::string requested = given[0] == "--version" ? "version" : given[0];
+  const std::string requested = user_arguments[0] == "--version" ? "version" : user_arguments[0];
   for (const Command& command : kCommands)
-    if (requested == command.name) return run(command, {given.begin() + 1, given.end()}, out, err);
-  fmt::print(err, "hareramp: unknown command '{}'\n", given[0]);
+    if (requested == command.name)
+      return run(command, {user_arguments.begin() + 1, user_arguments.end()}, out, err);
+  fmt::print(err, "hareramp: unknown command '{}'\n", user_arguments[0]);
   print_usage(err);
   return 2;
 }
--- a/src/program/limits.cpp
+++ b/src/program/limits.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kDefaultDeadline = 6;  // s; used where the settings have no request class
 
-// SIGKILL may follow SIGTERM after the longest deadline of a request class, counted as kKillDeadlineCap at
+// SIGKILL may come this long after SIGTERM: the longest deadline of a request class, but kKillDeadlineCap at
 // most, plus kKillGrace.
 constexpr double kKillDeadlineCap = 3;  // s
 constexpr double kKillGrace = 0.7;      // s
@@ -48,7 +48,7 @@
   limits.max_answer_line = 8 * kKb;          // lines in use are under 300 bytes
   limits.max_answer_body = 512 * kKb;        // objects have at most 240,000 bytes
   limits.max_event = 1 * kMb;                // a full endpoint list of thousands of nodes
-  limits.change_stream_read_size = 4 * kKb;  // about 40 purges: 0.3 ms of work in a turn of the loop
+  limits.change_stream_read_size = 4 * kKb;  // some 40 purges: about 0.3 ms of work in a turn of the loop
   // Memory budget for 192 MB and 1,024 descriptors with every client at its worst: buffers and request bodies
   // of 341 clients 38 MB, answers waiting for slow clients 48 MB, answers to the requests that are then still
   // open 82 MB (240,000 bytes each), buffers of connections to nodes 10 MB. Test runs of whole days use 7 MB.
