--- a/src/distribution/subscription.cpp
+++ b/src/distribution/subscription.cpp
@@ -27,7 +27,7 @@
 // Connects to the endpoints in turn, one connection at a time, until stop() is called.
 class Subscription::Connection : public std::enable_shared_from_this<Connection>,
                                  private protocol::HttpHandler,
-                                 private protocol::EventHandler {
+                                 private protocol::SseHandler {
  public:
   explicit Connection(Subscription& owner)
       : owner_(owner), event_parser_(owner.limits_.max_event), batch_done_(owner.scheduler_) {}
@@ -80,7 +80,7 @@
     const auto parse = [this](std::string_view decoded) {
       return event_parser_.feed(decoded, *this) && batch_.size() <= kMaxEventsPerBatch;
     };
-    broken_ = decoder_ ? !decoder_->feed(chunk, parse) : !parse(chunk);
+    broken_ = decoder_ ? !decoder_->decode(chunk, parse) : !parse(chunk);
     if (broken_) owner_.report_failure("the response body is not a valid change stream");
   }
   void event(std::string_view id, std::string_view data) override {
@@ -93,7 +93,7 @@
 
   Subscription& owner_;
   transport::Socket socket_;
-  protocol::EventParser event_parser_;
+  protocol::SseParser event_parser_;
   std::unique_ptr<protocol::GzipDecoder> decoder_;  // null: the stream is not compressed
   std::vector<Event> batch_;                        // read, not yet passed to the receiver
   transport::Signal batch_done_;
@@ -144,7 +144,7 @@
   if (!sent.ok()) co_return;
   protocol::HttpParser parser(protocol::HttpParser::Message::kResponse,
                               {limits.max_head, std::numeric_limits<std::size_t>::max()});
-  event_parser_ = protocol::EventParser(limits.max_event);
+  event_parser_ = protocol::SseParser(limits.max_event);
   decoder_.reset();
   batch_.clear();
   status_ok_ = broken_ = false;
@@ -163,7 +163,7 @@
     auto step = protocol::HttpParser::Step::kHead;
     while (step == protocol::HttpParser::Step::kHead) {
       std::size_t used = 0;
-      step = parser.feed(in.view(), used, *this);
+      step = parser.parse(in.view(), used, *this);
       in.consume(used);
     }
     const bool more_available = io.bytes >= limits.change_stream_read_size;
--- a/src/protocol/content_coding.cpp
+++ b/src/protocol/content_coding.cpp
@@ -45,7 +45,7 @@
 
 GzipDecoder::~GzipDecoder() { inflateEnd(&state_->stream); }
 
-bool GzipDecoder::feed(std::string_view bytes, const std::function<bool(std::string_view)>& take) {
+bool GzipDecoder::decode(std::string_view bytes, const std::function<bool(std::string_view)>& take) {
   z_stream& stream = state_->stream;
   std::array<char, kPiece> piece;
   stream.next_in = as_input(bytes);
--- a/src/protocol/content_coding.hpp
+++ b/src/protocol/content_coding.hpp
@@ -22,7 +22,7 @@
 
   // Hands what has been decoded on in pieces of a few KB. False: the bytes are no gzip, or the taker answered
   // false; nothing more can be decoded then.
-  bool feed(std::string_view bytes, const std::function<bool(std::string_view piece)>& take);
+  bool decode(std::string_view bytes, const std::function<bool(std::string_view piece)>& take);
 
  private:
   struct State;
--- a/src/protocol/events.cpp
+++ b/src/protocol/events.cpp
@@ -25,7 +25,7 @@
                                                       {"left", EndpointState::kRemoved}};
 }  // namespace
 
-bool EventParser::feed(std::string_view piece, EventHandler& handler) {
+bool SseParser::parse(std::string_view piece, SseHandler& handler) {
   for (const char c : piece) {
     const bool second_half = after_cr_ && c == '\n';
     after_cr_ = c == '\r';
@@ -40,7 +40,7 @@
   return true;
 }
 
-void EventParser::line(EventHandler& handler) {
+void SseParser::line(SseHandler& handler) {
   if (line_.empty()) {
     if (has_data_) handler.event(id_, data_);
     data_.clear();
--- a/src/protocol/events.hpp
+++ b/src/protocol/events.hpp
@@ -10,20 +10,20 @@
 
 namespace hareramp::protocol {
 
-class EventHandler {
+class SseHandler {
  public:
-  virtual ~EventHandler() = default;
+  virtual ~SseHandler() = default;
   virtual void event(std::string_view id, std::string_view data) = 0;
 };
 
-class EventParser {
+class SseParser {
  public:
-  explicit EventParser(std::size_t most_bytes) : most_bytes_(most_bytes) {}
+  explicit SseParser(std::size_t most_bytes) : most_bytes_(most_bytes) {}
   // Takes any piece of the stream. False: an event is over the bound, the stream can't be followed.
-  bool feed(std::string_view piece, EventHandler& handler);
+  bool parse(std::string_view piece, SseHandler& handler);
 
  private:
-  void line(EventHandler& handler);
+  void line(SseHandler& handler);
   std::size_t most_bytes_;
   std::string line_, id_, data_;
   bool after_cr_ = false, has_data_ = false;
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -38,14 +38,14 @@
   HttpParser(Message message, HttpLimits bounds) : message_(message), bounds_(bounds) {}
 
   // Reads on at the start of input and says in used how much of it is taken.
-  Step feed(std::string_view input, std::size_t& used, HttpHandler& handler);
+  Step parse(std::string_view input, std::size_t& used, HttpHandler& handler);
 
   // Known once the head has ended.
   bool keeps_alive() const { return keeps_alive_; }
   bool expects_continue() const { return expects_continue_; }
   // A message has begun and not ended.
   bool in_head() const { return stage_ == Stage::kStart || stage_ == Stage::kHeaders; }
-  bool begun() const { return stage_ != Stage::kDone && (stage_ != Stage::kStart || in_head_); }
+  bool in_message() const { return stage_ != Stage::kDone && (stage_ != Stage::kStart || in_head_); }
 
  private:
   enum class Stage { kStart, kHeaders, kSized, kChunkSize, kChunk, kChunkEnd, kTrailers, kUntilEnd, kDone };
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -39,9 +39,9 @@
   AnswerParser(std::size_t most_line, std::size_t most_body) : most_line_(most_line), most_body_(most_body) {}
 
   // Reads the whole answers at the start of input. False: it can't be read, and nothing after it either.
-  bool feed(std::string_view input, std::size_t& used, AnswerHandler& handler);
+  bool parse(std::string_view input, std::size_t& used, AnswerHandler& handler);
   // How many more bytes the answer that has begun needs at least.
-  std::size_t wanted() const { return wanted_; }
+  std::size_t missing_bytes() const { return wanted_; }
   // Of the answer that the handler is being told: all of it, line and body.
   std::size_t answer_bytes() const { return answer_bytes_; }
 
--- a/tests/distribution/relay_test.cpp
+++ b/tests/distribution/relay_test.cpp
@@ -19,7 +19,7 @@
 std::string decoded(const std::string& compressed) {
   protocol::GzipDecoder decoder;
   std::string plain;
-  REQUIRE(decoder.feed(compressed, [&](std::string_view piece) {
+  REQUIRE(decoder.decode(compressed, [&](std::string_view piece) {
     plain += piece;
     return true;
   }));
@@ -175,7 +175,7 @@
     fixture.send_changes({numbered_change(number, node_members("a", false))});
     fixture.tick();
   }
-  struct TimestampCollector : protocol::EventHandler {
+  struct TimestampCollector : protocol::SseHandler {
     void event(std::string_view, std::string_view data) override {
       const auto parsed = parse_change(*protocol::Json::parse(data));
       if (parsed.purge) timestamps.push_back(parsed.purge->unix_ms);
@@ -187,7 +187,7 @@
     (void)effect;
   for (const RelayEffect& effect : fixture.relay.step(fixture.now, Ticked{true}))
     if (const auto* send = std::get_if<Send>(&effect)) sent_bytes += *send->bytes;
-  protocol::EventParser(1 << 20).feed(sent_bytes, collector);
+  protocol::SseParser(1 << 20).parse(sent_bytes, collector);
   CHECK(collector.timestamps ==
         std::vector<double>{(kStartUnixTime + 1) * 1000, (kStartUnixTime - 3600) * 1000});
   fixture.advance(9.9);
--- a/tests/distribution/subscription_test.cpp
+++ b/tests/distribution/subscription_test.cpp
@@ -167,10 +167,10 @@
 
 TEST_CASE("gzip: the decoder ends at data that is not gzip or that decodes to more than is accepted") {
   const auto take_all = [](std::string_view) { return true; };
-  CHECK_FALSE(protocol::GzipDecoder().feed("plain words", take_all));
+  CHECK_FALSE(protocol::GzipDecoder().decode("plain words", take_all));
   std::size_t accepted_bytes = 0;
   const std::string compressed = protocol::gzip(std::string(10'000'000, 'x'));
-  CHECK_FALSE(protocol::GzipDecoder().feed(compressed, [&](std::string_view piece) {
+  CHECK_FALSE(protocol::GzipDecoder().decode(compressed, [&](std::string_view piece) {
     accepted_bytes += piece.size();
     return accepted_bytes < 100'000;
   }));
--- a/tests/faults/faulty_program.cpp
+++ b/tests/faults/faulty_program.cpp
@@ -58,7 +58,7 @@
   auto step = protocol::HttpParser::Step::kHead;
   while (step == protocol::HttpParser::Step::kHead) {
     std::size_t used = 0;
-    step = parser.feed(received, used, answer);
+    step = parser.parse(received, used, answer);
     received.remove_prefix(used);
   }
   if (step == protocol::HttpParser::Step::kMore) {
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -39,7 +39,7 @@
     held += text.substr(at, piece);
     for (;;) {
       std::size_t used = 0;
-      const auto step = parser.feed(held, used, trace);
+      const auto step = parser.parse(held, used, trace);
       held.erase(0, used);
       if (step == HttpParser::Step::kHead) continue;
       if (step == HttpParser::Step::kMore) break;
@@ -49,7 +49,7 @@
       if (held.empty()) break;
     }
   }
-  return trace.words + (parser.begun() ? " unfinished\n" : "");
+  return trace.words + (parser.in_message() ? " unfinished\n" : "");
 }
 
 // The same, however it is torn.
@@ -81,14 +81,14 @@
   for (std::size_t at = 0; at < text.size(); at += piece) {
     held += text.substr(at, piece);
     std::size_t used = 0;
-    const bool readable = parser.feed(held, used, trace);
+    const bool readable = parser.parse(held, used, trace);
     held.erase(0, used);
     if (!readable) return trace.words + "not readable\n";
   }
   return trace.words + (held.empty() ? "" : "unfinished\n");
 }
 
-struct EventTrace : EventHandler {
+struct EventTrace : SseHandler {
   std::string words;
   void event(std::string_view id, std::string_view data) override {
     words += "event " + std::string(id) + ": " + std::string(data) + "\n";
@@ -96,10 +96,10 @@
 };
 
 std::string events(const std::string& text, std::size_t piece) {
-  EventParser parser(60);
+  SseParser parser(60);
   EventTrace trace;
   for (std::size_t at = 0; at < text.size(); at += piece)
-    if (!parser.feed(std::string_view(text).substr(at, piece), trace)) return trace.words + "too long\n";
+    if (!parser.parse(std::string_view(text).substr(at, piece), trace)) return trace.words + "too long\n";
   return trace.words;
 }
 
