--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -26,7 +26,7 @@
   long long known_to = 0;
   std::vector<protocol::Json> known;
   Settings settings;
-  routing::Names names;
+  routing::ConfiguredNames names;
   Limits limits;
   std::size_t memory = 0;  // bytes that the platform gives
 };
--- a/src/routing/client_listener.cpp
+++ b/src/routing/client_listener.cpp
@@ -23,8 +23,8 @@
 }  // namespace
 
 ClientListener::ClientListener(Scheduler& scheduler, const Limits& limits, Counters& counters,
-                               const transport::Address& at, const Names& names, DirectorActor& module,
-                               flow::Exporter* flows)
+                               const transport::Address& at, const ConfiguredNames& names,
+                               DirectorActor& module, flow::Exporter* flows)
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
--- a/src/routing/client_listener.hpp
+++ b/src/routing/client_listener.hpp
@@ -20,7 +20,7 @@
 class ClientListener {
  public:
   ClientListener(transport::Scheduler& scheduler, const Limits& limits, Counters& counters,
-                 const transport::Address& at, const Names& names, DirectorActor& module,
+                 const transport::Address& at, const ConfiguredNames& names, DirectorActor& module,
                  flow::Exporter* flows = nullptr);
   ~ClientListener();
 
@@ -47,7 +47,7 @@
   const Limits& limits_;
   Counters& counters_;
   transport::Listener listener_;
-  const Names names_;
+  const ConfiguredNames names_;
   DirectorActor& module_;
   flow::Exporter* const flows_;  // null: flows are not exported
   std::list<std::shared_ptr<ClientConnection>> clients_;
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -112,7 +112,8 @@
 };
 
 DirectorActor::DirectorActor(Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
-                             Names names, Settings settings, std::uint64_t seed, flow::Exporter* flows)
+                             ConfiguredNames names, Settings settings, std::uint64_t seed,
+                             flow::Exporter* flows)
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -33,7 +33,7 @@
 };
 
 // The names that stand for indexes in the settings.
-struct Names {
+struct ConfiguredNames {
   std::vector<std::string> request_classes, zones, kinds;
   std::vector<bool> writes;  // by grade, where the settings tell
 };
@@ -41,7 +41,8 @@
 class DirectorActor : public Attempts, public distribution::ChangeReceiver, private Actions {
  public:
   DirectorActor(transport::Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
-                Names names, Settings settings, std::uint64_t seed, flow::Exporter* flows = nullptr);
+                ConfiguredNames names, Settings settings, std::uint64_t seed,
+                flow::Exporter* flows = nullptr);
   ~DirectorActor() override;
 
   void start();
@@ -118,7 +119,7 @@
   const Limits& limits_;
   Counters& counters_;
   Log& log_;
-  Names names_;
+  ConfiguredNames names_;
   flow::Exporter* const flows_;            // null: flows are not exported
   std::string parent_kind_, origin_kind_;  // by index, as the settings name them
   transport::Clock clock_;
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -179,7 +179,7 @@
     if (change) change(limits);
     Settings settings = DirectorFixture::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
-    const Names names{
+    const ConfiguredNames names{
         {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
     module.emplace(scheduler, limits, counters, log, names, settings, 7);
     module->start();
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -131,7 +131,7 @@
   Counters counters;
   std::FILE* sink = std::tmpfile();
   Log log{fileno(sink)};
-  const Names names{
+  const ConfiguredNames names{
       {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
   DirectorActor module(scheduler, limits, counters, log, names, DirectorFixture::usual_settings(), 7);
   module.start();
--- a/tests/routing/shutdown_test.cpp
+++ b/tests/routing/shutdown_test.cpp
@@ -20,7 +20,7 @@
     limits.max_change_backlog_hold = 60;
     Settings settings = DirectorFixture::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
-    const Names names{
+    const ConfiguredNames names{
         {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
     module.emplace(scheduler, limits, counters, log, names, settings, 7);
     module->start();
