--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -20,38 +20,40 @@
 
 namespace {
 
-// Bytes that the kernel is asked to hold of what a client sent and nobody has read yet; it may grant twice as
-// much, and takes the memory only where it is used. A client's end is known as long as all that it sent
-// before fits in here and into what is read ahead: behind more, the end itself waits at the client.
-constexpr int kUnreadRoom = 256 << 10;
-
-// Final answers that are written where there is no memory, or no time, for others.
-// Nothing of the request has run: it may be sent again.
+// Size of the kernel's buffer for what a client sent and was not read yet, in bytes; the kernel may grant
+// twice as much, and uses the memory only as bytes arrive. A client's close is noticed as long as all that it
+// sent before fits into this buffer and what is read ahead: behind more bytes, the close itself waits in the
+// client's kernel.
+constexpr int kReceiveBufferBytes = 256 << 10;
+
+// Final answers for when memory, or time, for other answers is lacking.
+// Nothing of the request has run: the client may send it again.
 constexpr std::string_view kRejectedAnswer =
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-// It may have run.
+// The request may have run.
 constexpr std::string_view kFailedAnswer =
     "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-// What may follow a whole request on its connection: the start of another.
+// Whether the text may be the start of a request: nothing else may follow a complete request on its
+// connection.
 bool begins_request(std::string_view text) {
   return std::all_of(text.begin(), text.begin() + std::min<std::size_t>(3, text.size()),
                      [](char c) { return (c >= 'A' && c <= 'Z') || c == '\r' || c == '\n'; });
 }
-// The client has closed its sending side or has reset the connection, also while bytes that it sent before
-// are unread.
+// Whether the client has closed its sending side or has reset the connection, even if bytes that it sent
+// before are unread.
 bool has_closed(const transport::Socket& socket) {
-  pollfd asked{socket.descriptor(), POLLRDHUP, 0};
-  return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  pollfd poll_request{socket.descriptor(), POLLRDHUP, 0};
+  return ::poll(&poll_request, 1, 0) > 0 && (poll_request.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
-// Throws away what has come and is unread, up to a bound: a close over unread bytes would reset the
-// connection, and with it an answer that is still on its way.
+// Discards received bytes that are unread, up to kMaxDiscarded: closing a socket with unread bytes resets the
+// connection, which destroys an answer that is still on its way.
 void discard_unread(const transport::Socket& socket) {
-  constexpr std::size_t kMost = 1 << 20;
-  std::array<char, 1 << 14> room;
+  constexpr std::size_t kMaxDiscarded = 1 << 20;
+  std::array<char, 1 << 14> scratch;
   std::size_t discarded = 0;
-  while (socket.open() && discarded < kMost) {
-    const ssize_t count = ::recv(socket.descriptor(), room.data(), room.size(), MSG_DONTWAIT);
+  while (socket.open() && discarded < kMaxDiscarded) {
+    const ssize_t count = ::recv(socket.descriptor(), scratch.data(), scratch.size(), MSG_DONTWAIT);
     if (count <= 0) return;
     discarded += static_cast<std::size_t>(count);
   }
@@ -63,16 +65,19 @@
 
 }  // namespace
 
-ClientConnection::Standing ClientConnection::standing(Seconds now) const {
-  if (busy_) return Standing::kStays;
-  if (closing_) return Standing::kLingering;
-  // The first request of a client that means well is on its way when it connects, as the next may be now.
-  if (now - moved_at_ < listener_.limits_.first_request_grace) return Standing::kStays;
-  if (!shown_) return parser_.begun() ? Standing::kShownPart : Standing::kShownNothing;
-  return parser_.begun() || in_.size() > 0 ? Standing::kStays : Standing::kIdle;
+ClientConnection::EvictionPriority ClientConnection::eviction_priority(Seconds now) const {
+  if (busy_) return EvictionPriority::kNotEvictable;
+  if (closing_) return EvictionPriority::kLingering;
+  // A well-behaved client sends its first request as it connects, and may be sending the next one now.
+  if (now - last_active_at_ < listener_.limits_.first_request_grace) return EvictionPriority::kNotEvictable;
+  if (!seen_valid_request_)
+    return parser_.begun() ? EvictionPriority::kPartialRequest : EvictionPriority::kNoRequest;
+  return parser_.begun() || input_.size() > 0 ? EvictionPriority::kNotEvictable : EvictionPriority::kIdle;
 }
 
-bool ClientConnection::may_go() const { return socket_.unacknowledged() == 0 && !has_request_unread(); }
+bool ClientConnection::may_be_evicted() const {
+  return socket_.unacknowledged() == 0 && !has_request_unread();
+}
 
 bool ClientConnection::client_has_closed() const { return has_closed(socket_); }
 
@@ -83,95 +88,98 @@
 ClientConnection::ClientConnection(ClientListener& listener, transport::Socket socket)
     : listener_(listener),
       socket_(std::move(socket)),
-      in_(listener.limits_.retained_buffer),
+      input_(listener.limits_.retained_buffer),
       parser_(HttpParser::Message::kRequest, {listener.limits_.max_head, listener.limits_.max_request_body}),
       mailbox_(listener.scheduler_),
       resumed_(listener.scheduler_),
-      moved_at_(Scheduler::now()) {
+      last_active_at_(Scheduler::now()) {
   if (!listener.flows_) return;
   location_ = listener.flows_->location_of(socket_.descriptor());
-  auto tap = listener.flows_->client(socket_.descriptor());
-  flow_observer_ = tap.get();
+  auto observer = listener.flows_->client(socket_.descriptor());
+  flow_observer_ = observer.get();
   if (flow_observer_) flow_observer_->writing_for({});
-  socket_.observe(std::move(tap));
+  socket_.observe(std::move(observer));
 }
 
 void ClientConnection::start() {
-  setsockopt(socket_.descriptor(), SOL_SOCKET, SO_RCVBUF, &kUnreadRoom, sizeof kUnreadRoom);
-  if (client_has_closed()) return leave();  // before anybody could be told of it
-  // Guards against attempts for a client that has gone: where it sent more than is read ahead, its end stands
-  // behind bytes that nobody reads while a request is open. It hurts a client that closes only its sending
-  // side and still waits for an answer.
+  setsockopt(socket_.descriptor(), SOL_SOCKET, SO_RCVBUF, &kReceiveBufferBytes, sizeof kReceiveBufferBytes);
+  if (client_has_closed())
+    return close_connection();  // it closed before on_peer_closed was set, which would not report it any more
+  // Guards against attempts for a client that has disconnected: where it sent more than is read ahead, its
+  // close is queued behind bytes that are not read while a request is open. The cost: a client that closes
+  // only its sending side, and still waits for an answer, gets none.
   socket_.on_peer_closed([weak = weak_from_this()] {
-    if (const auto client = weak.lock()) client->leave();
+    if (const auto client = weak.lock()) client->close_connection();
   });
   try {
-    listener_.scheduler_.spawn(live(shared_from_this()));
+    listener_.scheduler_.spawn(serve_mailbox(shared_from_this()));
     listener_.scheduler_.spawn(read(shared_from_this()));
-  } catch (...) {  // no memory: it goes unread
-    leave();
+  } catch (...) {  // no memory: the connection is closed unread
+    close_connection();
     throw;
   }
 }
 
-Task<> ClientConnection::live(std::shared_ptr<ClientConnection> self) { co_await self->mailbox_.serve(); }
+Task<> ClientConnection::serve_mailbox(std::shared_ptr<ClientConnection> self) {
+  co_await self->mailbox_.serve();
+}
 
 // --- reading ---
 
 Task<> ClientConnection::read(std::shared_ptr<ClientConnection> self) {
-  for (bool failed = true; failed && !self->ended_;) {
+  for (bool failed = true; failed && !self->closed_;) {
     failed = false;
     try {
-      co_await self->read_on();
+      co_await self->read_until_closed();
     } catch (...) {
       failed = true;
-      self->listener_.report(std::current_exception());
+      self->listener_.report_failure(std::current_exception());
     }
-    if (!failed || self->ended_) break;
+    if (!failed || self->closed_) break;
     if (self->busy_)
-      co_await self->resumed_.wait();  // the open request keeps its answer; what follows is read after it
+      co_await self->resumed_.wait();  // the open request still gets its answer; reading resumes after that
     else if (self->closing_)
       break;
     else if (self->parser_.begun() || has_unread(self->socket_))
-      self->answer_at_once(kRejectedAnswer);
+      self->answer_and_close(kRejectedAnswer);
     else
-      self->finish();
+      self->begin_lingering_close();
   }
-  self->leave();
+  self->close_connection();
 }
 
-Task<> ClientConnection::read_on() {
+Task<> ClientConnection::read_until_closed() {
   const Limits& limits = listener_.limits_;
-  while (!ended_) {
-    if (in_.size() >= limits.max_read_ahead && busy_) {  // reading pauses until the answer is out
+  while (!closed_) {
+    if (input_.size() >= limits.max_read_ahead && busy_) {  // reading pauses until the answer is written
       co_await resumed_.wait();
       continue;
     }
-    const bool lingers = closing_ && !busy_;
-    const Seconds patience =
-        parser_.begun() || !shown_ ? limits.request_read_timeout : limits.client_idle_timeout;
-    const Io io =
-        co_await socket_.read(in_, limits.read_size, lingers ? linger_until_ : moved_at_ + patience);
-    if (ended_) break;
+    const bool lingering = closing_ && !busy_;
+    const Seconds read_timeout =
+        parser_.begun() || !seen_valid_request_ ? limits.request_read_timeout : limits.client_idle_timeout;
+    const Io io = co_await socket_.read(input_, limits.read_size,
+                                        lingering ? linger_until_ : last_active_at_ + read_timeout);
+    if (closed_) break;
     if (io.end == IoEnd::kTimedOut) {
       if (busy_) {
-        moved_at_ = Scheduler::now();
+        last_active_at_ = Scheduler::now();
       } else if (closing_) {
         if (Scheduler::now() >= linger_until_) break;
-      } else if (Scheduler::now() < moved_at_ + patience) {
-        continue;  // something was answered meanwhile
+      } else if (Scheduler::now() < last_active_at_ + read_timeout) {
+        continue;  // an answer was written meanwhile
       } else if (parser_.begun()) {
         refuse(408);
       } else if (!has_unread(socket_)) {
-        finish();
+        begin_lingering_close();
       }
       continue;
     }
     if (!io.ok()) break;
-    // Guards against one that sends on for ever after a refusal, also where it never reads it. What it had to
-    // send is taken for a while: a connection closed with bytes unread would destroy the answer on its way.
+    // Guards against a client that keeps sending after a refusal, even if it never reads that. What it sends
+    // is read for a while: closing a connection with unread bytes would destroy the answer on its way.
     if (closing_ && !busy_ && Scheduler::now() >= linger_until_) break;
-    if (closing_ || (shown_ && !parser_.begun())) moved_at_ = Scheduler::now();
+    if (closing_ || (seen_valid_request_ && !parser_.begun())) last_active_at_ = Scheduler::now();
     advance();
   }
 }
@@ -180,30 +188,32 @@
   try {
     read_requests();
   } catch (...) {  // no memory for the request
-    listener_.report(std::current_exception());
-    answer_at_once(kRejectedAnswer);
+    listener_.report_failure(std::current_exception());
+    answer_and_close(kRejectedAnswer);
   }
 }
 
-// Reads on in what has come in. Stops at a whole request, until that is answered.
+// Parses the bytes that have been received. Stops after a complete request, until that is answered.
 void ClientConnection::read_requests() {
-  if (closing_ && !busy_) in_.consume(in_.size());  // nothing that follows counts
-  while (!busy_ && !closing_ && !ended_ && in_.size() > 0) {
-    std::size_t used = 0;
-    const auto step = parser_.feed(in_.view(), used, *this);
-    in_.consume(used);
-    request_bytes_ += used;
+  if (closing_ && !busy_) input_.consume(input_.size());  // whatever follows is ignored
+  while (!busy_ && !closing_ && !closed_ && input_.size() > 0) {
+    std::size_t consumed = 0;
+    const auto step = parser_.feed(input_.view(), consumed, *this);
+    input_.consume(consumed);
+    request_bytes_ += consumed;
     switch (step) {
       case HttpParser::Step::kMore:
         return;
       case HttpParser::Step::kHead:
-        if (parser_.expects_continue() && in_.size() == 0) socket_.write_now("HTTP/1.1 100 Continue\r\n\r\n");
+        if (parser_.expects_continue() && input_.size() == 0)
+          socket_.write_now("HTTP/1.1 100 Continue\r\n\r\n");
         break;
       case HttpParser::Step::kDone:
-        // Guards against a length that says too little: what follows is then a body's rest, and no request.
-        if (!begins_request(in_.view())) return refuse(400);
+        // Guards against a stated length that is too short: what follows is then the rest of the body, and
+        // not a request.
+        if (!begins_request(input_.view())) return refuse(400);
         busy_ = true;
-        keep_ = parser_.keeps_alive();
+        keep_alive_ = parser_.keeps_alive();
         serve();
         break;
       case HttpParser::Step::kBad:
@@ -219,40 +229,40 @@
 // --- answers ---
 
 template <class Work>
-void ClientConnection::post_answer(const RequestId& request, std::string_view without_memory, Work work) {
+void ClientConnection::post_answer(const RequestId& request, std::string_view fallback, Work work) {
   try {
-    mailbox_.post([this, request, without_memory, work = std::move(work)]() mutable {
+    mailbox_.post([this, request, fallback, work = std::move(work)]() mutable {
       try {
-        if (owed_ && request == request_) work();
+        if (awaiting_director_ && request == open_request_id_) work();
       } catch (...) {
-        answer_without_memory(request, without_memory);
+        answer_with_fallback(request, fallback);
       }
     });
   } catch (...) {
-    answer_without_memory(request, without_memory);
+    answer_with_fallback(request, fallback);
   }
 }
 
-void ClientConnection::answer_without_memory(const RequestId& request, std::string_view text) {
-  listener_.report(std::current_exception());
-  if (owed_ && request == request_) answer_at_once(text);
+void ClientConnection::answer_with_fallback(const RequestId& request, std::string_view text) {
+  listener_.report_failure(std::current_exception());
+  if (awaiting_director_ && request == open_request_id_) answer_and_close(text);
 }
 
 void ClientConnection::completed(const RequestId& request, Content content) {
   post_answer(request, kFailedAnswer, [this, content = std::move(content)]() mutable {
-    std::string more;
-    if (!content.tag.empty()) more = "ETag: \"" + content.tag + "\"\r\n";
-    answer(content.same_copy ? 304 : 200, more, std::move(content.bytes), ipfix::Outcome::kCompleted,
-           content.note);
+    std::string extra_headers;
+    if (!content.etag.empty()) extra_headers = "ETag: \"" + content.etag + "\"\r\n";
+    answer(content.same_copy ? 304 : 200, extra_headers, std::move(content.bytes), ipfix::Outcome::kCompleted,
+           content.detail);
   });
 }
 
 void ClientConnection::rejected(const RequestId& request, Seconds retry_after) {
   post_answer(request, kRejectedAnswer, [this, retry_after] {
-    std::string more;
+    std::string extra_headers;
     const auto pause = static_cast<long long>(std::ceil(retry_after * 1000));
-    if (pause > 0) more = "X-Pushback-Ms: " + std::to_string(pause) + "\r\n";
-    answer(503, more, "", ipfix::Outcome::kBounced);
+    if (pause > 0) extra_headers = "X-Pushback-Ms: " + std::to_string(pause) + "\r\n";
+    answer(503, extra_headers, "", ipfix::Outcome::kBounced);
   });
 }
 
@@ -260,20 +270,20 @@
   post_answer(request, kFailedAnswer, [this] { answer(500, "", "", ipfix::Outcome::kForfeited); });
 }
 
-// A request that can't be read: a plain answer, and nothing that follows on the connection counts.
+// Answers a request that cannot be read with this status; whatever follows on the connection is ignored.
 void ClientConnection::refuse(int status) {
   ++listener_.counters_.clients_bad;
   busy_ = true;
-  keep_ = false;
-  in_.consume(in_.size());
+  keep_alive_ = false;
+  input_.consume(input_.size());
   answer(status, "", "");
 }
 
-void ClientConnection::label(ipfix::Outcome outcome, AnswerDetail note) {
+void ClientConnection::label_flow(ipfix::Outcome outcome, AnswerDetail detail) {
   if (!flow_observer_) return;
   ipfix::Label label;
   if (outcome != ipfix::Outcome::kNone)
-    label = {request_class_, location_, outcome, static_cast<std::uint8_t>(note)};
+    label = {request_class_, location_, outcome, static_cast<std::uint8_t>(detail)};
   else
     label.location = location_;
   flow_observer_->read_for(label, std::exchange(request_bytes_, 0));
@@ -281,146 +291,148 @@
   if (outcome != ipfix::Outcome::kNone) flow_observer_->request_ended(label);
 }
 
-void ClientConnection::answer(int status, std::string_view more, std::string bytes, ipfix::Outcome outcome,
-                              AnswerDetail note) {
+void ClientConnection::answer(int status, std::string_view extra_headers, std::string bytes,
+                              ipfix::Outcome outcome, AnswerDetail detail) {
   try {
-    begin_answer(status, more, std::move(bytes), outcome, note);
-  } catch (...) {  // no memory for it
-    listener_.report(std::current_exception());
+    begin_answer(status, extra_headers, std::move(bytes), outcome, detail);
+  } catch (...) {  // no memory for the answer
+    listener_.report_failure(std::current_exception());
     const bool may_have_run = outcome == ipfix::Outcome::kCompleted || outcome == ipfix::Outcome::kForfeited;
-    answer_at_once(may_have_run ? kFailedAnswer : kRejectedAnswer);
+    answer_and_close(may_have_run ? kFailedAnswer : kRejectedAnswer);
   }
 }
 
-void ClientConnection::begin_answer(int status, std::string_view more, std::string bytes,
-                                    ipfix::Outcome outcome, AnswerDetail note) {
-  owed_ = false;
+void ClientConnection::begin_answer(int status, std::string_view extra_headers, std::string bytes,
+                                    ipfix::Outcome outcome, AnswerDetail detail) {
+  awaiting_director_ = false;
   forwarded_request_.reset();
-  label(outcome, note);
-  if (!keep_) closing_ = true;
+  label_flow(outcome, detail);
+  if (!keep_alive_) closing_ = true;
   listener_.counters_.bytes_answered += bytes.size();
-  std::string head = protocol::http_answer(status, more, bytes.size(), keep_);
+  std::string head = protocol::http_answer(status, extra_headers, bytes.size(), keep_alive_);
   listener_.scheduler_.spawn(write(shared_from_this(), std::move(head), std::move(bytes)));
 }
 
-// Ends the request in work and the connection with a final answer, without a need for memory. What is read
-// ahead of further requests goes with it: the answer says that the connection closes.
-void ClientConnection::answer_at_once(std::string_view text) {
-  if (ended_) return;
-  if (forwarded_request_) forwarded_request_->client_gone = true;  // the module may have it, or not
+// Ends the open request and the connection with a final answer, without allocating memory. Requests that were
+// read ahead are dropped: the answer says that the connection closes.
+void ClientConnection::answer_and_close(std::string_view text) {
+  if (closed_) return;
+  if (forwarded_request_)
+    forwarded_request_->client_gone = true;  // whether or not the request has reached the Director
   forwarded_request_.reset();
-  owed_ = false;
-  in_.consume(in_.size());
-  if (!socket_.write_now(text).ok()) return leave();
-  finish();
+  awaiting_director_ = false;
+  input_.consume(input_.size());
+  if (!socket_.write_now(text).ok()) return close_connection();
+  begin_lingering_close();
   resumed_.notify();
 }
 
-// Nothing more is sent; what was is waited for until it has reached the client. What the client still sends
-// is read and thrown away: a close over unread bytes would reset the connection, and destroy an answer on its
-// way.
-void ClientConnection::finish() {
+// Sends nothing more, and waits until the client has received what was sent (a lingering close). What the
+// client still sends is read and discarded: closing with unread bytes would reset the connection, and destroy
+// an answer on its way.
+void ClientConnection::begin_lingering_close() {
   busy_ = false;
-  keep_ = false;
+  keep_alive_ = false;
   closing_ = true;
-  moved_at_ = Scheduler::now();
-  linger_until_ = moved_at_ + listener_.limits_.max_linger;
+  last_active_at_ = Scheduler::now();
+  linger_until_ = last_active_at_ + listener_.limits_.max_linger;
   socket_.finish();
   try {
-    watch_linger();
+    set_linger_timer();
   } catch (...) {
-    listener_.report(std::current_exception());
-    leave();
+    listener_.report_failure(std::current_exception());
+    close_connection();
   }
 }
 
-void ClientConnection::watch_linger() {
+void ClientConnection::set_linger_timer() {
   const Seconds due =
-      std::min(linger_until_, std::max(moved_at_, Scheduler::now()) + listener_.limits_.linger_timeout);
+      std::min(linger_until_, std::max(last_active_at_, Scheduler::now()) + listener_.limits_.linger_timeout);
   listener_.scheduler_.at(due, [weak = weak_from_this()] {
-    if (const auto client = weak.lock()) client->end_linger();
+    if (const auto client = weak.lock()) client->check_linger();
   });
 }
 
-void ClientConnection::end_linger() {
-  if (ended_) return;
+void ClientConnection::check_linger() {
+  if (closed_) return;
   const Seconds now = Scheduler::now();
-  const bool silent = now >= moved_at_ + listener_.limits_.linger_timeout;
-  if (now >= linger_until_ || (silent && socket_.unacknowledged() == 0)) return leave();
-  watch_linger();
+  const bool silent = now >= last_active_at_ + listener_.limits_.linger_timeout;
+  if (now >= linger_until_ || (silent && socket_.unacknowledged() == 0)) return close_connection();
+  set_linger_timer();
 }
 
 Task<> ClientConnection::write(std::shared_ptr<ClientConnection> self, std::string head, std::string bytes) {
   const Seconds until = Scheduler::now() + self->listener_.limits_.answer_write_timeout;
   const std::size_t size = bytes.size();
   try {
-    head += bytes;  // one write: a client that reads the head finds the body with it
+    head += bytes;  // a single write: a client that reads the head finds the body with it
   } catch (...) {
-    self->listener_.report(std::current_exception());
-    self->answer_at_once(kFailedAnswer);
+    self->listener_.report_failure(std::current_exception());
+    self->answer_and_close(kFailedAnswer);
     co_return;
   }
   bytes = std::string();
-  self->listener_.waiting_answers_ += size;
+  self->listener_.pending_answer_bytes_ += size;
   Io io = self->socket_.write_now(head);
   if (io.end == IoEnd::kTimedOut) {
     try {
       io = co_await self->socket_.write(std::string_view(head).substr(io.bytes), until);
-    } catch (...) {  // as a connection that broke: the client can tell
+    } catch (...) {  // handled as a broken connection: the client can tell that the answer is incomplete
       io.end = IoEnd::kBroken;
     }
   }
-  self->listener_.waiting_answers_ -= size;
-  if (self->ended_) co_return;
+  self->listener_.pending_answer_bytes_ -= size;
+  if (self->closed_) co_return;
   if (!io.ok()) {
-    // Guards against a client that does not read: what it was sent is not whole, and it can tell.
+    // Guards against a client that does not read. By the reset it can tell that the answer is incomplete.
     if (io.end == IoEnd::kTimedOut) ++self->listener_.counters_.clients_slow;
     self->flow_observer_ = nullptr;
     self->socket_.abort();
-    self->leave();
+    self->close_connection();
     co_return;
   }
-  self->moved_at_ = Scheduler::now();
+  self->last_active_at_ = Scheduler::now();
   self->busy_ = false;
-  if (self->closing_) self->finish();  // the client reads what it was sent before it sees the end
+  if (self->closing_) self->begin_lingering_close();  // the client reads the answer before it sees the close
   self->advance();
   self->resumed_.notify();
 }
 
-bool ClientConnection::make_way() {
-  if (!closing_ && parser_.begun()) answer_at_once(kRejectedAnswer);
-  if (ended_) return true;
+bool ClientConnection::evict() {
+  if (!closing_ && parser_.begun()) answer_and_close(kRejectedAnswer);
+  if (closed_) return true;
   if (closing_ && socket_.unacknowledged() > 0) return false;
-  leave();
+  close_connection();
   return true;
 }
 
 void ClientConnection::close_unless_busy() {
   if (busy_ || closing_ || has_request_unread()) return;
   if (parser_.begun())
-    answer_at_once(kRejectedAnswer);
+    answer_and_close(kRejectedAnswer);
   else
-    finish();
+    begin_lingering_close();
 }
 
-void ClientConnection::leave() {
-  if (std::exchange(ended_, true)) return;
+void ClientConnection::close_connection() {
+  if (std::exchange(closed_, true)) return;
   const auto self = shared_from_this();
   if (forwarded_request_)
-    forwarded_request_->client_gone = true;  // at once, ahead of what is posted to the module
-  const bool owed = std::exchange(owed_, false);
+    forwarded_request_->client_gone =
+        true;  // at once, ahead of the calls that are posted to the Director's actor
+  const bool was_awaiting_director = std::exchange(awaiting_director_, false);
   try {
-    if (owed) label(ipfix::Outcome::kLeft, AnswerDetail::kNone);
-    if (owed) listener_.module_.request_left(request_);
-  } catch (...) {  // no memory: the request ends by its deadline, unheard
-    listener_.report(std::current_exception());
+    if (was_awaiting_director) label_flow(ipfix::Outcome::kLeft, AnswerDetail::kNone);
+    if (was_awaiting_director) listener_.director_.client_left(open_request_id_);
+  } catch (...) {  // no memory: the Director is not informed, and the request ends at its deadline
+    listener_.report_failure(std::current_exception());
   }
-  flow_observer_ = nullptr;  // goes with the socket
+  flow_observer_ = nullptr;  // destroyed when the socket closes
   discard_unread(socket_);
   socket_.close();
   resumed_.notify();
   mailbox_.close();
-  listener_.ended(*this);
+  listener_.remove_client(*this);
 }
 
 }  // namespace hareramp::routing
--- a/src/routing/client_listener.cpp
+++ b/src/routing/client_listener.cpp
@@ -12,111 +12,112 @@
 
 namespace {
 
-// Clients amid their first request that are refused at once to make room for one. What each was sent has to
-// reach it before its descriptor is free, which takes a way there and back.
-constexpr std::size_t kRefusedTogether = 8;
+// How many clients that have sent part of a first request are refused in one search for room. A refusal must
+// reach its client before the descriptor is free, which takes a round trip.
+constexpr std::size_t kMaxRefusalsPerEviction = 8;
 
-// Between an accept that failed and the next one: 2 ms, doubled with each further failure up to 0.256 s.
+// The pause between a failed accept and the next one: 2 ms, doubled with each further failure up to 0.256 s.
 constexpr Seconds kAcceptPause = 0.002;
 constexpr int kAcceptPauseDoublings = 7;
 
 }  // namespace
 
 ClientListener::ClientListener(Scheduler& scheduler, const Limits& limits, Counters& counters,
-                               const transport::Address& at, const ConfiguredNames& names,
-                               DirectorActor& module, flow::Exporter* flows)
+                               const transport::Address& listen_address, const ConfiguredNames& names,
+                               DirectorActor& director, flow::Exporter* flows)
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
-      listener_(scheduler, at, limits.listen_backlog),
+      listener_(scheduler, listen_address, limits.listen_backlog),
       names_(names),
-      module_(module),
+      director_(director),
       flows_(flows) {}
 
 ClientListener::~ClientListener() = default;
 
-void ClientListener::start() { scheduler_.spawn(live(*this)); }
+void ClientListener::start() { scheduler_.spawn(accept_connections(*this)); }
 
-// Past the limit one more connection is held, unread, until there is room for it; the others wait in the
-// backlog.
-Task<> ClientListener::live(ClientListener& self) {
+// At the limit one more connection is accepted and held, unread, until there is room for it; the others wait
+// in the backlog.
+Task<> ClientListener::accept_connections(ClientListener& self) {
   for (;;) {
     transport::Listener::Accepted accepted;
     try {
       accepted = co_await self.listener_.accept();
     } catch (...) {  // no memory for the call
-      self.report(std::current_exception());
+      self.report_failure(std::current_exception());
       accepted.end = transport::Listener::End::kTransientFailure;
     }
     if (accepted.end == transport::Listener::End::kClosed) co_return;
     if (accepted.end != transport::Listener::End::kTaken) {
-      const Seconds pause = self.pause_after(accepted.end);
+      const Seconds pause = self.pause_after_failure(accepted.end);
       if (pause > 0) co_await self.scheduler_.sleep_until(Scheduler::now() + pause);
       continue;
     }
     self.accept_failures_ = 0;
     if (self.clients_.size() >= self.limits_.max_clients) {
-      // Whoever has closed already, or has just asked for something, is heard of first.
+      // Clients that have closed already, or have just sent a request, are processed first.
       co_await self.scheduler_.sleep_until(Scheduler::now());
     }
-    while (self.clients_.size() >= self.limits_.max_clients && !self.make_room()) {
+    while (self.clients_.size() >= self.limits_.max_clients && !self.evict_client()) {
       ++self.counters_.accept_paused;
       co_await self.scheduler_.sleep_until(Scheduler::now() + self.limits_.accept_retry_delay);
     }
-    self.admit(std::move(accepted.socket));
+    self.add_client(std::move(accepted.socket));
   }
 }
 
-// Guards against accepts that fail: most do so for a moment, and the pause before the next one is short; one
-// that goes on failing must not keep the loop busy. Only a lack of descriptors is mended by closing a client,
-// and then only where it outlasts the first pause: at every other failure at most one goes.
-Seconds ClientListener::pause_after(transport::Listener::End failure) {
+// Guards against accepts that fail: most failures are brief, so the pause before the next accept is short;
+// one that persists must not keep the loop busy. Closing a client helps only where descriptors are lacking,
+// and is done only if that lasts longer than the first pause: at every second failure, at most one client is
+// closed.
+Seconds ClientListener::pause_after_failure(transport::Listener::End failure) {
   ++counters_.accept_paused;
   ++accept_failures_;
   const bool lacks_descriptors = failure == transport::Listener::End::kDescriptorLimit;
-  if (lacks_descriptors && accept_failures_ % 2 == 0 && make_room()) return 0;
+  if (lacks_descriptors && accept_failures_ % 2 == 0 && evict_client()) return 0;
   const int doublings = std::min(accept_failures_ - 1, kAcceptPauseDoublings);
   return kAcceptPause * (1 << doublings);
 }
 
-// Where there is no memory for it, the connection is closed unread.
-void ClientListener::admit(transport::Socket socket) {
+// Without memory for it, the connection is closed unread.
+void ClientListener::add_client(transport::Socket socket) {
   try {
     const auto client = std::make_shared<ClientConnection>(*this, std::move(socket));
     clients_.push_back(client);
     ++counters_.clients_accepted;
     client->start();
   } catch (...) {
-    report(std::current_exception());
+    report_failure(std::current_exception());
   }
 }
 
-// Guards against connections that are kept open and not used while others wait to be accepted, and against
-// floods of those that say nothing or never a whole request: who goes first is decided by what a connection
-// has shown, and among the same by how long ago. It hurts a client that asks in that very moment, and has to
-// ask again; one of whose request something was read is answered 503 first. True: there is room now; where
-// there is none, it may be soon.
-bool ClientListener::make_room() {
-  for (std::size_t refused = 0; refused < kRefusedTogether; ++refused) {
-    const auto client = next_to_go();
+// Guards against connections that stay open and unused while others wait to be accepted, and against floods
+// of connections that send nothing or never a complete request: which one is closed first depends on what it
+// has sent (EvictionPriority), and among equals on how long it has been inactive. The cost: a client that
+// sends a request at that very moment has to send it again; a partly read request is answered 503 first.
+// True: there is room now. False: there may be soon.
+bool ClientListener::evict_client() {
+  for (std::size_t refusals = 0; refusals < kMaxRefusalsPerEviction; ++refusals) {
+    const auto client = next_to_evict();
     if (!client) return false;
-    if (client->make_way()) return true;
+    if (client->evict()) return true;
   }
   return false;
 }
 
-std::shared_ptr<ClientConnection> ClientListener::next_to_go() const {
-  using Standing = ClientConnection::Standing;
+std::shared_ptr<ClientConnection> ClientListener::next_to_evict() const {
+  using EvictionPriority = ClientConnection::EvictionPriority;
   std::shared_ptr<ClientConnection> first;
-  Standing lowest = Standing::kStays;
+  EvictionPriority lowest = EvictionPriority::kNotEvictable;
   const Seconds now = Scheduler::now();
   for (const auto& client : clients_) {
-    const Standing standing = client->standing(now);
-    if (standing > lowest || standing == Standing::kStays) continue;
-    if (standing == lowest && first && client->idle_since() >= first->idle_since()) continue;
-    if (!client->may_go()) continue;
+    const EvictionPriority priority = client->eviction_priority(now);
+    if (priority > lowest || priority == EvictionPriority::kNotEvictable) continue;
+    if (priority == lowest && first && client->idle_since() >= first->idle_since()) continue;
+    if (!client->may_be_evicted()) continue;
     first = client;
-    lowest = standing;
+    lowest = priority;
   }
   return first;
 }
@@ -127,16 +128,16 @@
   for (const auto& client : clients) client->close_unless_busy();
 }
 
-void ClientListener::report(const std::exception_ptr& failure) noexcept {
+void ClientListener::report_failure(const std::exception_ptr& failure) noexcept {
   try {
     if (scheduler_.on_failure) scheduler_.on_failure(failure);
-  } catch (...) {  // nobody is left to be told
+  } catch (...) {  // no handler is left that could report it
   }
 }
 
-void ClientListener::ended(ClientConnection& client) {
+void ClientListener::remove_client(ClientConnection& client) {
   ++counters_.clients_closed;
-  clients_.remove_if([&](const auto& held) { return held.get() == &client; });
+  clients_.remove_if([&](const auto& candidate) { return candidate.get() == &client; });
 }
 
 }  // namespace hareramp::routing
--- a/src/routing/client_listener.hpp
+++ b/src/routing/client_listener.hpp
@@ -1,4 +1,4 @@
-// Takes clients' connections, as long as there is room for them.
+// Accepts clients' connections, up to the limit of clients.
 #pragma once
 
 #include <exception>
@@ -16,43 +16,44 @@
 
 class ClientConnection;
 
-// Takes connections as long as there is room for them, and knows those that are open.
+// Accepts connections as long as there is room for them, and owns those that are open.
 class ClientListener {
  public:
   ClientListener(transport::Scheduler& scheduler, const Limits& limits, Counters& counters,
-                 const transport::Address& at, const ConfiguredNames& names, DirectorActor& module,
-                 flow::Exporter* flows = nullptr);
+                 const transport::Address& listen_address, const ConfiguredNames& names,
+                 DirectorActor& director, flow::Exporter* flows = nullptr);
   ~ClientListener();
 
   void start();
   transport::Address address() const { return listener_.address(); }
-  // No new connections, and an end to those on which no request is open; one of which a part was read is
-  // answered 503 first. Called again until no client is left: others end once their requests are answered.
+  // Stops accepting, and closes the connections on which no request is open; a partly read request is
+  // answered 503 first. To be called again until no client is left: the other connections can be closed once
+  // their requests are answered.
   void close();
   std::size_t clients() const { return clients_.size(); }
 
  private:
   friend class ClientConnection;
-  static transport::Task<> live(ClientListener& self);
-  // After an accept that failed: how long to wait before the next one.
-  Seconds pause_after(transport::Listener::End failure);
-  void admit(transport::Socket socket);
-  bool make_room();
-  std::shared_ptr<ClientConnection> next_to_go() const;
-  // Tells of a failure that was dealt with.
-  void report(const std::exception_ptr& failure) noexcept;
-  void ended(ClientConnection& client);
+  static transport::Task<> accept_connections(ClientListener& self);
+  // How long to wait after a failed accept before the next one.
+  Seconds pause_after_failure(transport::Listener::End failure);
+  void add_client(transport::Socket socket);
+  bool evict_client();
+  std::shared_ptr<ClientConnection> next_to_evict() const;
+  // Reports an exception that has been handled.
+  void report_failure(const std::exception_ptr& failure) noexcept;
+  void remove_client(ClientConnection& client);
 
   transport::Scheduler& scheduler_;
   const Limits& limits_;
   Counters& counters_;
   transport::Listener listener_;
   const ConfiguredNames names_;
-  DirectorActor& module_;
+  DirectorActor& director_;
   flow::Exporter* const flows_;  // null: flows are not exported
   std::list<std::shared_ptr<ClientConnection>> clients_;
-  std::size_t waiting_answers_ = 0;  // bytes
-  int accept_failures_ = 0;          // in a row
+  std::size_t pending_answer_bytes_ = 0;  // bytes
+  int accept_failures_ = 0;               // in a row
 };
 
 }  // namespace hareramp::routing
--- a/src/routing/client_request.cpp
+++ b/src/routing/client_request.cpp
@@ -1,4 +1,5 @@
-// How a ClientConnection reads one request: from the HTTP message to what the director is asked.
+// The part of ClientConnection that reads one request: from the HTTP message to the call of the Director's
+// actor.
 #include <algorithm>
 #include <charconv>
 #include <cmath>
@@ -20,11 +21,12 @@
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   return error == std::errc() && end == text.data() + text.size();
 }
-bool read_figure(std::string_view text, double most, double& value) {
-  return read_number(text, value) && std::isfinite(value) && value >= 0 && value <= most;
+bool read_bounded_number(std::string_view text, double max, double& value) {
+  return read_number(text, value) && std::isfinite(value) && value >= 0 && value <= max;
 }
-// What goes on in a line of words must hold no mark of that line.
-bool is_word(std::string_view text) {
+// Whether the text may be written into a command line for a node: it must not contain a separator of that
+// line.
+bool is_command_word(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
     return c > 0x20 && c < 0x7f && c != ',' && c != '=' && c != '+';
   });
@@ -33,21 +35,21 @@
   return text.size() == 16 && text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
 }
 
-constexpr std::string_view kTargetStart = "/invoke/";
-constexpr std::string_view kPartStart = "block-";
+constexpr std::string_view kTargetPrefix = "/invoke/";
+constexpr std::string_view kPartPrefix = "block-";
 
 // A request's target: /invoke/CLASS/OBJECT or /invoke/CLASS/OBJECT/block-PART. Views into the target.
 struct RequestTarget {
   std::string_view request_class_name;
   std::string_view object;
-  std::string_view piece;  // the digits of the part; empty where the target names none
+  std::string_view part_digits;  // the digits of the part; empty where the target names none
   PartNumber part;
 };
 
-// None where the text is no such target.
+// No value where the text is not such a target.
 std::optional<RequestTarget> read_target(std::string_view text) {
   RequestTarget target;
-  text.remove_prefix(kTargetStart.size());
+  text.remove_prefix(kTargetPrefix.size());
   const auto class_end = text.find('/');
   if (class_end == std::string_view::npos) return {};
   target.request_class_name = text.substr(0, class_end);
@@ -55,10 +57,10 @@
   const auto object_end = text.find('/');
   target.object = text.substr(0, object_end);
   if (object_end == std::string_view::npos) return target;
-  target.piece = text.substr(object_end + 1);
-  if (!target.piece.starts_with(kPartStart)) return {};
-  target.piece.remove_prefix(kPartStart.size());
-  if (!read_number(target.piece, target.part.value) || target.part.value < 0) return {};
+  target.part_digits = text.substr(object_end + 1);
+  if (!target.part_digits.starts_with(kPartPrefix)) return {};
+  target.part_digits.remove_prefix(kPartPrefix.size());
+  if (!read_number(target.part_digits, target.part.value) || target.part.value < 0) return {};
   return target;
 }
 
@@ -66,32 +68,35 @@
 
 void ClientConnection::start_line(std::string_view method, std::string_view target) {
   http_request_ = HttpRequest();
-  http_request_.get = method == "GET";
-  http_request_.put = method == "PUT";
+  http_request_.is_get = method == "GET";
+  http_request_.is_put = method == "PUT";
   http_request_.target = target;
 }
 
 void ClientConnection::header(std::string_view name, std::string_view value) {
-  HttpRequest& r = http_request_;
+  HttpRequest& request = http_request_;
   const Limits& limits = listener_.limits_;
   if (same_name(name, "x-correlation-id")) {
-    r.bad = r.bad || !r.id.empty();
-    r.has_id = is_id(value);
-    r.id = value;
+    request.malformed = request.malformed || !request.id.empty();
+    request.has_id = is_id(value);
+    request.id = value;
   } else if (same_name(name, "x-deadline-ms")) {
-    r.bad = r.bad || r.has_stop;
-    r.has_stop = read_figure(value, limits.max_deadline * 1000, r.wait);
+    request.malformed = request.malformed || request.has_deadline;
+    request.has_deadline = read_bounded_number(value, limits.max_deadline * 1000, request.deadline_ms);
   } else if (same_name(name, "x-resent")) {
-    r.resent = value == "1";
+    request.resent = value == "1";
   } else if (same_name(name, "x-family")) {
-    r.bad = r.bad || !read_number(value, r.family) || r.family < 0 || r.family >= limits.group_count;
+    request.malformed = request.malformed || !read_number(value, request.group) || request.group < 0 ||
+                        request.group >= limits.group_count;
   } else if (same_name(name, "x-need-kb")) {
-    r.bad = r.bad || !read_figure(value, limits.max_request_kb, r.size_kb);
+    request.malformed =
+        request.malformed || !read_bounded_number(value, limits.max_request_kb, request.size_kb);
   } else if (same_name(name, "if-none-match")) {
     if (value.starts_with("W/")) value.remove_prefix(2);
     if (value.size() >= 2 && value.front() == '"' && value.back() == '"')
       value = value.substr(1, value.size() - 2);
-    if (is_word(value)) r.cached = value;  // a list of tags, or *, is not what our clients send
+    if (is_command_word(value))
+      request.cached_etag = value;  // a list of tags, or *, is ignored: our clients do not send one
   }
 }
 
@@ -103,53 +108,56 @@
   const std::string_view target = http_request_.target;
   if (target == "/_health") {
     ++listener_.counters_.health_asked;
-    shown_ = true;
-    return answer(http_request_.get ? 200 : 405, "", "ok\n");
+    seen_valid_request_ = true;
+    return answer(http_request_.is_get ? 200 : 405, "", "ok\n");
   }
-  if (!target.starts_with(kTargetStart)) {
+  if (!target.starts_with(kTargetPrefix)) {
     ++listener_.counters_.not_found;
     return answer(404, "", "");
   }
-  if (!http_request_.get && !http_request_.put) return answer(405, "Allow: GET, PUT\r\n", "");
+  if (!http_request_.is_get && !http_request_.is_put) return answer(405, "Allow: GET, PUT\r\n", "");
   if (!serve_request()) {
     ++listener_.counters_.clients_bad;
-    keep_ = false;
+    keep_alive_ = false;
     answer(400, "", "");
   }
 }
 
-// False where it is no request that is served here.
+// False where this is not a request that is served here.
 bool ClientConnection::serve_request() {
   const auto target = read_target(http_request_.target);
   if (!target) return false;
   ObjectId object;
   const auto& request_classes = listener_.names_.request_classes;
-  const auto known = std::find(request_classes.begin(), request_classes.end(), target->request_class_name);
-  if (known == request_classes.end() || !protocol::read_object(target->object, object)) return false;
-  if (!http_request_.has_id || !http_request_.has_stop || http_request_.bad) return false;
-  // What a node would answer with an error: a read that brings bytes, a write that does not write.
-  const auto place = static_cast<std::size_t>(known - request_classes.begin());
+  const auto found = std::find(request_classes.begin(), request_classes.end(), target->request_class_name);
+  if (found == request_classes.end() || !protocol::read_object(target->object, object)) return false;
+  if (!http_request_.has_id || !http_request_.has_deadline || http_request_.malformed) return false;
+  // What a node would answer with an error: a read with a body, or a method that does not fit whether the
+  // request class writes.
+  const auto class_index = static_cast<std::size_t>(found - request_classes.begin());
   const auto& writes = listener_.names_.writes;
-  if (http_request_.get && !http_request_.body.empty()) return false;
-  if (place < writes.size() && writes[place] != http_request_.put) return false;
-  shown_ = true;
-
-  // Guards against clients that ask and do not read: their answers must not fill the memory. Nothing has run.
-  if (listener_.waiting_answers_ > listener_.limits_.max_pending_answers) {
-    listener_.module_.turned_back();
+  if (http_request_.is_get && !http_request_.body.empty()) return false;
+  if (class_index < writes.size() && writes[class_index] != http_request_.is_put) return false;
+  seen_valid_request_ = true;
+
+  // Guards against clients that send requests and do not read the answers: these must not fill the memory.
+  // Nothing of this request has run.
+  if (listener_.pending_answer_bytes_ > listener_.limits_.max_pending_answers) {
+    listener_.director_.count_rejected_at_limit();
     answer(503, "", "", ipfix::Outcome::kBounced);
     return true;
   }
-  // Read out of what came before the client went: nobody waits for it.
+  // The request was read from bytes that arrived before the client disconnected: no client waits for the
+  // answer.
   if (client_has_closed()) {
-    leave();
+    close_connection();
     return true;
   }
   auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
   forwarded_request->lane = target->request_class_name;
   forwarded_request->name = target->object;
-  forwarded_request->piece = target->piece;
-  forwarded_request->cached = std::move(http_request_.cached);
+  forwarded_request->piece = target->part_digits;
+  forwarded_request->cached = std::move(http_request_.cached_etag);
   forwarded_request->body = std::move(http_request_.body);
   if (flow_observer_) {
     request_class_ = listener_.flows_->request_class(forwarded_request->lane);
@@ -157,17 +165,19 @@
     forwarded_request->location_number = location_.value;
   }
   const Limits& limits = listener_.limits_;
-  // A request read after a pause may have waited for all of it, and its client's time began with the sending.
+  // A request that is read after a pause of the process may have waited for all of it, while its client's
+  // time counts from the moment of sending.
   const Seconds deadline =
       Scheduler::now() +
-      std::max(0.0, http_request_.wait / 1000 - limits.deadline_margin - listener_.scheduler_.late());
-  request_ = {std::move(http_request_.id)};
+      std::max(0.0, http_request_.deadline_ms / 1000 - limits.deadline_margin - listener_.scheduler_.late());
+  open_request_id_ = {std::move(http_request_.id)};
   forwarded_request_ = forwarded_request;
-  listener_.module_.request_arrived(request_, {static_cast<int>(place)}, object, target->part,
-                                    {http_request_.family}, deadline, http_request_.size_kb,
-                                    http_request_.resent, http_request_.put, std::move(forwarded_request),
-                                    weak_from_this());
-  owed_ = true;  // the module has it; its answer comes by the mailbox, later
+  listener_.director_.request_arrived(open_request_id_, {static_cast<int>(class_index)}, object, target->part,
+                                      {http_request_.group}, deadline, http_request_.size_kb,
+                                      http_request_.resent, http_request_.is_put,
+                                      std::move(forwarded_request), weak_from_this());
+  awaiting_director_ =
+      true;  // the Director's actor has the request; its answer comes later, through the mailbox
   return true;
 }
 
--- a/src/routing/director_actor.cpp
+++ b/src/routing/director_actor.cpp
@@ -10,104 +10,109 @@
 using transport::Task;
 
 namespace {
-// s between looks whether what goes first after the process stood still is over.
-constexpr Seconds kHoldLook = 0.005;
-// s: a purge counts as just issued. Its stamp is of the issuer's clock, and either clock may have been
-// stepped: an age taken from the two could say that a purge is long over while copies from before it are
-// still held.
+// s: interval between checks whether requests must still be held after a pause of the process.
+constexpr Seconds kHoldPollInterval = 0.005;
+// s: a purge counts as issued at its arrival. Its time stamp comes from the issuer's clock, and either clock
+// may have been stepped: an age computed from the two could make a purge look long finished while nodes still
+// hold copies from before it.
 constexpr Seconds kPurgeAge = 0;
 }  // namespace
 
-// A change of the list, read straight into calls of the director; peers come and go with it.
-class DirectorActor::Changes : public protocol::ChangeHandler {
+// Applies one change of the stream to the Director, and adds, moves or retires upstream nodes by it.
+class DirectorActor::ChangeApplier : public protocol::ChangeHandler {
  public:
-  Changes(DirectorActor& module, bool known) : module_(module), known_(known) {}
-
-  void list_starts(bool whole) override {
-    whole_ = whole;
-    module_.start_times_.list_starts(
-        known_ ? policy::ListSource::kKnownBeforeStart : policy::ListSource::kChangeStream, whole);
-    module_.director_->list_starts(now(), whole ? known_ ? ListCompleteness::kCached : ListCompleteness::kFull
-                                                : ListCompleteness::kChanges);
+  ChangeApplier(DirectorActor& actor, bool known_before_start)
+      : actor_(actor), known_before_start_(known_before_start) {}
+
+  void list_starts(bool full) override {
+    full_list_ = full;
+    actor_.start_times_.list_starts(
+        known_before_start_ ? policy::ListSource::kKnownBeforeStart : policy::ListSource::kChangeStream,
+        full);
+    actor_.director_->list_starts(
+        now(), full ? known_before_start_ ? ListCompleteness::kCached : ListCompleteness::kFull
+                    : ListCompleteness::kChanges);
   }
   void list_entry(const NodeId& node, const std::string& address, const std::string& zone,
                   const std::string& kind, CellIndex cell, EndpointState endpoint_state, double weight,
                   double started_unix_ms) override {
-    const auto place = transport::Address::parse(address);
-    if (endpoint_state != EndpointState::kRemoved && !place) return skipped("the address '" + address + "'");
+    const auto parsed_address = transport::Address::parse(address);
+    if (endpoint_state != EndpointState::kRemoved && !parsed_address)
+      return skipped("the address '" + address + "'");
     if (endpoint_state == EndpointState::kRemoved) {
-      retire(node);
+      remove_node(node);
     } else {
       listed_.insert(node);
-      connect(node, *place, kind);
+      add_or_update(node, *parsed_address, kind);
     }
-    // The director's clock is near Unix time by a base that was fixed at its start: later steps move nothing.
+    // The director's clock follows Unix time by an offset that was fixed at its start: later steps of the
+    // wall clock do not move it.
     const Seconds started = endpoint_state == EndpointState::kRemoved
                                 ? 0
-                                : module_.start_times_.started(now(), node, started_unix_ms / 1000);
-    module_.director_->list_entry(now(), node, {index(module_.names_.zones, zone)},
-                                  {index(module_.names_.kinds, kind)}, cell, endpoint_state, weight, started,
-                                  started_unix_ms / 1000);
+                                : actor_.start_times_.started(now(), node, started_unix_ms / 1000);
+    actor_.director_->list_entry(now(), node, {index_of(actor_.names_.zones, zone)},
+                                 {index_of(actor_.names_.kinds, kind)}, cell, endpoint_state, weight, started,
+                                 started_unix_ms / 1000);
   }
   void list_ends() override {
-    if (whole_) {
+    if (full_list_) {
       std::vector<NodeId> missing;
-      for (const auto& [node, peer] : module_.upstream_nodes_)
+      for (const auto& [node, upstream_node] : actor_.upstream_nodes_)
         if (!listed_.contains(node)) missing.push_back(node);
-      for (const NodeId& node : missing) retire(node);
+      for (const NodeId& node : missing) remove_node(node);
     }
-    module_.director_->list_ends(now());
+    actor_.director_->list_ends(now());
   }
   void object_purged(ObjectId object, double) override {
-    ++module_.counters_.purges;
-    module_.director_->object_purged(now(), object, kPurgeAge);
+    ++actor_.counters_.purges;
+    actor_.director_->object_purged(now(), object, kPurgeAge);
   }
   void group_purged(GroupId group, double) override {
-    ++module_.counters_.purges;
-    module_.director_->group_purged(now(), group, kPurgeAge);
+    ++actor_.counters_.purges;
+    actor_.director_->group_purged(now(), group, kPurgeAge);
   }
   void skipped(const std::string& what) override {
-    ++module_.counters_.events_skipped;
-    module_.log_.warning("change_skipped", "change log: skipped {}", what);
+    ++actor_.counters_.events_skipped;
+    actor_.log_.warning("change_skipped", "change stream: skipped {}", what);
   }
 
-  void unknown_field(std::string_view) override { ++module_.counters_.unknown_fields; }
+  void unknown_field(std::string_view) override { ++actor_.counters_.unknown_fields; }
 
  private:
-  Seconds now() const { return module_.clock_.now(); }
-  static int index(const std::vector<std::string>& names, const std::string& name) {
+  Seconds now() const { return actor_.clock_.now(); }
+  static int index_of(const std::vector<std::string>& names, const std::string& name) {
     const auto found = std::find(names.begin(), names.end(), name);
     return found == names.end() ? -1 : static_cast<int>(found - names.begin());
   }
   ipfix::NodeRole node_role_of(const std::string& kind) const {
-    const std::string place = std::to_string(index(module_.names_.kinds, kind));
-    return place == module_.origin_kind_   ? ipfix::NodeRole::kOrigin
-           : place == module_.parent_kind_ ? ipfix::NodeRole::kParent
-                                           : ipfix::NodeRole::kEdge;
+    const std::string kind_index = std::to_string(index_of(actor_.names_.kinds, kind));
+    return kind_index == actor_.origin_kind_   ? ipfix::NodeRole::kOrigin
+           : kind_index == actor_.parent_kind_ ? ipfix::NodeRole::kParent
+                                               : ipfix::NodeRole::kEdge;
   }
-  void connect(const NodeId& node, transport::Address address, const std::string& kind) {
-    auto& peer = module_.upstream_nodes_[node];
-    if (!peer) {
-      peer = std::make_shared<UpstreamNode>(module_.scheduler_, module_.limits_, module_.counters_,
-                                            module_.links_, node, address, module_, module_.flows_,
-                                            node_role_of(kind));
-      peer->start();
-    } else if (!(module_.addresses_[node] == address)) {
-      peer->moved(address);
+  void add_or_update(const NodeId& node, transport::Address address, const std::string& kind) {
+    auto& upstream_node = actor_.upstream_nodes_[node];
+    if (!upstream_node) {
+      upstream_node = std::make_shared<UpstreamNode>(actor_.scheduler_, actor_.limits_, actor_.counters_,
+                                                     actor_.connection_count_, node, address, actor_,
+                                                     actor_.flows_, node_role_of(kind));
+      upstream_node->start();
+    } else if (!(actor_.addresses_[node] == address)) {
+      upstream_node->set_address(address);
     }
-    module_.addresses_[node] = address;
+    actor_.addresses_[node] = address;
   }
-  void retire(const NodeId& node) {
-    module_.start_times_.forget(node);
-    const auto found = module_.upstream_nodes_.find(node);
-    if (found == module_.upstream_nodes_.end()) return;
-    found->second->gone();
-    module_.upstream_nodes_.erase(found);
-    module_.addresses_.erase(node);
+  void remove_node(const NodeId& node) {
+    actor_.start_times_.forget(node);
+    const auto found = actor_.upstream_nodes_.find(node);
+    if (found == actor_.upstream_nodes_.end()) return;
+    found->second->retire();
+    actor_.upstream_nodes_.erase(found);
+    actor_.addresses_.erase(node);
   }
 
-  DirectorActor& module_;
-  bool known_, whole_ = false;
+  DirectorActor& actor_;
+  bool known_before_start_, full_list_ = false;
   std::set<NodeId> listed_;
 };
 
@@ -123,7 +128,7 @@
       parent_kind_(settings["FamilyInfo.ShieldKind"]),
       origin_kind_(settings["FamilyInfo.OriginKind"]),
       mailbox_(scheduler),
-      told_(scheduler) {
+      change_mailbox_(scheduler) {
   Actions& actions = *this;
   director_ = std::make_unique<Director>(clock_.now(), std::move(settings), seed, actions);
 }
@@ -131,47 +136,48 @@
 DirectorActor::~DirectorActor() = default;
 
 void DirectorActor::start() {
-  scheduler_.spawn(live(*this));
-  scheduler_.spawn(hear(*this));
+  scheduler_.spawn(serve_requests(*this));
+  scheduler_.spawn(serve_changes(*this));
 }
 
-Task<> DirectorActor::live(DirectorActor& self) {
+Task<> DirectorActor::serve_requests(DirectorActor& self) {
   for (auto call = co_await self.mailbox_.next(); call; call = co_await self.mailbox_.next()) {
-    while (Scheduler::now() < std::min(self.held_until_, self.deadline_cap_))
-      co_await self.scheduler_.sleep_until(std::min(self.held_until_, Scheduler::now() + kHoldLook));
-    while (self.changes_wait_ &&
+    while (Scheduler::now() < std::min(self.hold_until_, self.deadline_cap_))
+      co_await self.scheduler_.sleep_until(std::min(self.hold_until_, Scheduler::now() + kHoldPollInterval));
+    while (self.change_backlog_ &&
            Scheduler::now() <
-               std::min(self.held_until_ + self.limits_.max_change_backlog_hold, self.deadline_cap_))
-      co_await self.scheduler_.sleep_until(Scheduler::now() + kHoldLook);
+               std::min(self.hold_until_ + self.limits_.max_change_backlog_hold, self.deadline_cap_))
+      co_await self.scheduler_.sleep_until(Scheduler::now() + kHoldPollInterval);
     self.scheduler_.run_guarded(call);
   }
 }
-Task<> DirectorActor::hear(DirectorActor& self) { co_await self.told_.serve(); }
-
-// Guards against a machine so short of cores that every turn is late: held anew each time, the module would
-// never get to a request, nor the last resort to its answer. It hurts a second long pause right after a
-// first.
-void DirectorActor::woke_late(Seconds listen_until) {
-  constexpr Seconds kHoldAgain =
-      1;  // s: the shortest grace on drains; older news was heard in the hold before
+Task<> DirectorActor::serve_changes(DirectorActor& self) { co_await self.change_mailbox_.serve(); }
+
+// Extends a hold only if that makes it longer by more than kMinHoldExtension. Guards against a machine so
+// short of cores that every turn of the scheduler is late: if each of them extended the hold, no request
+// would ever be processed, and no overdue one answered. The cost: a second long pause right after a first one
+// may not extend the hold.
+void DirectorActor::woke_late(Seconds hold_until) {
+  constexpr Seconds kMinHoldExtension =
+      1;  // s: the shortest grace period of a drain; older changes were read during the previous hold
   ++counters_.late_turns;
-  if (listen_until > held_until_ + kHoldAgain) held_until_ = listen_until;
+  if (hold_until > hold_until_ + kMinHoldExtension) hold_until_ = hold_until;
 }
 
 void DirectorActor::known_change_arrived(protocol::Json change) {
-  told_.post([this, change = std::move(change)] {
-    Changes changes(*this, true);
+  change_mailbox_.post([this, change = std::move(change)] {
+    ChangeApplier changes(*this, true);
     protocol::read_change(change, changes);
   });
 }
 
 void DirectorActor::changes_arrived(std::vector<distribution::NumberedChange> changes, bool more_waits,
                                     std::function<void(bool taken)> done) {
-  changes_wait_ = more_waits;
-  told_.post([this, changes = std::move(changes), done = std::move(done)] {
+  change_backlog_ = more_waits;
+  change_mailbox_.post([this, changes = std::move(changes), done = std::move(done)] {
     try {
       for (const auto& [number, change] : changes) {
-        Changes handler(*this, false);
+        ChangeApplier handler(*this, false);
         protocol::read_change(change, handler);
       }
     } catch (...) {
@@ -188,126 +194,131 @@
                                     std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                                     std::weak_ptr<ResponseSink> response_sink) {
   ++counters_.taken;
-  counters_.open = ++open_;
+  counters_.open = ++open_requests_;
   mailbox_.post([=, this, forwarded_request = std::move(forwarded_request),
                  response_sink = std::move(response_sink)]() mutable {
-    arrived(request, request_class, object, part, group, deadline, size_kb, resent, is_write,
-            std::move(forwarded_request), std::move(response_sink));
+    handle_request(request, request_class, object, part, group, deadline, size_kb, resent, is_write,
+                   std::move(forwarded_request), std::move(response_sink));
   });
 }
 
-void DirectorActor::arrived(const RequestId& id, RequestClassIndex request_class, ObjectId object,
-                            PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
-                            bool is_write,
-                            std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
-                            std::weak_ptr<ResponseSink> response_sink) {
-  if (requests_.contains(
-          id)) {  // an id that is not new can't be told from the first: no second answer to that
+void DirectorActor::handle_request(const RequestId& id, RequestClassIndex request_class, ObjectId object,
+                                   PartNumber part, GroupId group, Seconds deadline, double size_kb,
+                                   bool resent, bool is_write,
+                                   std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+                                   std::weak_ptr<ResponseSink> response_sink) {
+  if (requests_.contains(id)) {  // the id is in use: nothing would tell the two requests apart, so the second
+                                 // fails, and the first gets its only answer
     ++counters_.forfeited;
-    counters_.open = --open_;
-    if (const auto second = response_sink.lock()) second->failed(id);
+    counters_.open = --open_requests_;
+    if (const auto duplicate_sink = response_sink.lock()) duplicate_sink->failed(id);
     return;
   }
   Request request;
   request.forwarded_request = std::move(forwarded_request);
   request.response_sink = std::move(response_sink);
   request.deadline = std::min(deadline, deadline_cap_);
-  watch_overdue(id, requests_.insert_or_assign(id, std::move(request)).first->second);
+  set_overdue_timer(id, requests_.insert_or_assign(id, std::move(request)).first->second);
   director_->request_arrived(clock_.now(), id, request_class, {0}, object, part, group,
                              clock_.of_scheduler(deadline), size_kb, resent, is_write);
 }
 
-// Guards against a request that nothing would ever end; the module's own time-outs come first.
-void DirectorActor::watch_overdue(const RequestId& id, Request& request) {
-  request.last_resort =
-      scheduler_.at(request.deadline + limits_.deadline_guard_delay, [this, id] { end_by_last_resort(id); });
+// Guards against a request that nothing else would ever end; the Director's own timeouts come earlier.
+void DirectorActor::set_overdue_timer(const RequestId& id, Request& request) {
+  request.overdue_timer =
+      scheduler_.at(request.deadline + limits_.deadline_guard_delay, [this, id] { end_overdue(id); });
 }
 
-// By the mailbox of changes, which is never held.
+// Posted to change_mailbox_, which is never held.
 void DirectorActor::cap_deadlines(Seconds at) {
   deadline_cap_ = at;
-  told_.post([this, at] {
+  change_mailbox_.post([this, at] {
     for (auto& [id, request] : requests_) {
-      if (!request.owed || request.deadline <= at) continue;
-      scheduler_.cancel(request.last_resort);
+      if (!request.unanswered || request.deadline <= at) continue;
+      scheduler_.cancel(request.overdue_timer);
       request.deadline = at;
-      watch_overdue(id, request);
+      set_overdue_timer(id, request);
     }
     director_->cap_deadlines(clock_.now(), clock_.of_scheduler(at));
   });
 }
 
-DirectorActor::Request* DirectorActor::owed(const RequestId& id) {
+DirectorActor::Request* DirectorActor::find_unanswered(const RequestId& id) {
   const auto found = requests_.find(id);
-  return found != requests_.end() && found->second.owed ? &found->second : nullptr;
+  return found != requests_.end() && found->second.unanswered ? &found->second : nullptr;
 }
 
-void DirectorActor::answered(Request& request) {
-  request.owed = false;
-  scheduler_.cancel(request.last_resort);
-  counters_.open = --open_;
+void DirectorActor::mark_answered(Request& request) {
+  request.unanswered = false;
+  scheduler_.cancel(request.overdue_timer);
+  counters_.open = --open_requests_;
 }
 
-void DirectorActor::forget_if_quiet(const RequestId& id) {
+void DirectorActor::erase_if_finished(const RequestId& id) {
   const auto found = requests_.find(id);
-  if (found == requests_.end() || found->second.owed) return;
-  const auto& outs = found->second.outs;
-  if (std::none_of(outs.begin(), outs.end(), [](const Out& out) { return out.out; })) requests_.erase(found);
+  if (found == requests_.end() || found->second.unanswered) return;
+  const auto& sent_attempts = found->second.sent_attempts;
+  if (std::none_of(sent_attempts.begin(), sent_attempts.end(),
+                   [](const SentAttempt& sent_attempt) { return sent_attempt.in_flight; }))
+    requests_.erase(found);
 }
 
-void DirectorActor::request_left(const RequestId& id) {
+void DirectorActor::client_left(const RequestId& id) {
   mailbox_.post([this, id] {
-    Request* request = owed(id);
-    if (!request) return;  // its answer was on the way
-    answered(*request);
+    Request* request = find_unanswered(id);
+    if (!request) return;  // it was answered while this call was waiting
+    mark_answered(*request);
     ++counters_.left;
     director_->client_disconnected(clock_.now(), id);
-    forget_if_quiet(id);
+    erase_if_finished(id);
   });
 }
 
-void DirectorActor::end_by_last_resort(const RequestId& id) {
+void DirectorActor::end_overdue(const RequestId& id) {
   mailbox_.post([this, id] {
-    Request* request = owed(id);
+    Request* request = find_unanswered(id);
     if (!request) return;
     ++counters_.overdue;
     fail(id);
     director_->client_disconnected(clock_.now(), id);
-    forget_if_quiet(id);
+    erase_if_finished(id);
   });
 }
 
-void DirectorActor::ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
-                          AnswerDetail note, Seconds waited, LoadReport report, Content content) {
+void DirectorActor::attempt_ended(const RequestId& request, AttemptNumber number, const NodeId& node,
+                                  Result result, AnswerDetail detail, Seconds waited, LoadReport report,
+                                  Content content) {
   mailbox_.post([=, this, report = std::move(report), content = std::move(content)]() mutable {
-    attempt_ended(request, number, node, result, note, waited, report, std::move(content));
+    handle_attempt_end(request, number, node, result, detail, waited, report, std::move(content));
   });
 }
 
-void DirectorActor::attempt_ended(const RequestId& id, AttemptNumber number, const NodeId& node,
-                                  Result result, AnswerDetail note, Seconds waited, const LoadReport& report,
-                                  Content content) {
+void DirectorActor::handle_attempt_end(const RequestId& id, AttemptNumber number, const NodeId& node,
+                                       Result result, AnswerDetail detail, Seconds waited,
+                                       const LoadReport& report, Content content) {
   const auto found = requests_.find(id);
-  const auto place = static_cast<std::size_t>(number.value);
-  if (found == requests_.end() || place >= found->second.outs.size()) return;
+  const auto attempt_index = static_cast<std::size_t>(number.value);
+  if (found == requests_.end() || attempt_index >= found->second.sent_attempts.size()) return;
   Request& request = found->second;
-  // Told that a copy holds which the client never named: nothing that could be passed on.
+  // The node says that the client's copy is still valid, but the client named none: there is no answer to
+  // forward.
   if (content.same_copy && request.forwarded_request->cached.empty()) result = Result::kError;
-  count(result);
-  request.outs[place].out = false;
-  if (result == Result::kCompleted && request.owed) {
-    answered(request);
+  count_result(result);
+  request.sent_attempts[attempt_index].in_flight = false;
+  if (result == Result::kCompleted && request.unanswered) {
+    mark_answered(request);
     ++counters_.completed;
     if (content.same_copy) ++counters_.not_modified;
     if (const auto response_sink = request.response_sink.lock())
       response_sink->completed(id, std::move(content));
   }
-  const Seconds now = clock_.now(), spent = now - clock_.of_scheduler(request.outs[place].sent);
-  director_->attempt_ended(now, id, number, node, result, note, waited, spent, report, !request.owed);
-  forget_if_quiet(id);
+  const Seconds now = clock_.now(),
+                spent = now - clock_.of_scheduler(request.sent_attempts[attempt_index].sent_at);
+  director_->attempt_ended(now, id, number, node, result, detail, waited, spent, report, !request.unanswered);
+  erase_if_finished(id);
 }
 
-void DirectorActor::count(Result result) {
+void DirectorActor::count_result(Result result) {
   switch (result) {
     case Result::kCompleted:
       ++counters_.ended_completed;
@@ -341,46 +352,47 @@
 }
 
 void DirectorActor::attempt(const RequestId& id, const NodeId& node, const FillOptions& fill,
-                            Seconds time_out) {
-  Request* request = owed(id);
+                            Seconds timeout) {
+  Request* request = find_unanswered(id);
   if (!request) return;
-  const AttemptNumber number{static_cast<int>(request->outs.size())};
+  const AttemptNumber number{static_cast<int>(request->sent_attempts.size())};
   const Seconds now = Scheduler::now();
-  request->outs.push_back({node, now});
+  request->sent_attempts.push_back({node, now});
   ++counters_.attempts;
-  const auto peer = upstream_nodes_.find(node);
-  // Its time may have gone by while the process stood still, or its client has left: nobody waits for it any
-  // more.
-  if (peer == upstream_nodes_.end() || now >= request->deadline || request->forwarded_request->client_gone)
-    return ended(id, number, node, Result::kNotSent, AnswerDetail::kNone, 0, {}, {});
-  const Seconds until = time_out > 0 ? std::min(now + time_out, request->deadline) : request->deadline;
-  peer->second->attempt(id, number, request->forwarded_request, fill, until);
+  const auto upstream_node = upstream_nodes_.find(node);
+  // The deadline may have passed while the process was suspended, or the client may have disconnected: no
+  // client waits for this answer any more.
+  if (upstream_node == upstream_nodes_.end() || now >= request->deadline ||
+      request->forwarded_request->client_gone)
+    return attempt_ended(id, number, node, Result::kNotSent, AnswerDetail::kNone, 0, {}, {});
+  const Seconds until = timeout > 0 ? std::min(now + timeout, request->deadline) : request->deadline;
+  upstream_node->second->attempt(id, number, request->forwarded_request, fill, until);
 }
 
 void DirectorActor::cancel(const RequestId& id, AttemptNumber number) {
   const auto found = requests_.find(id);
-  const auto place = static_cast<std::size_t>(number.value);
-  if (found == requests_.end() || place >= found->second.outs.size()) return;
-  const auto peer = upstream_nodes_.find(found->second.outs[place].node);
-  if (peer != upstream_nodes_.end()) peer->second->cancel(id, number);
+  const auto attempt_index = static_cast<std::size_t>(number.value);
+  if (found == requests_.end() || attempt_index >= found->second.sent_attempts.size()) return;
+  const auto upstream_node = upstream_nodes_.find(found->second.sent_attempts[attempt_index].node);
+  if (upstream_node != upstream_nodes_.end()) upstream_node->second->cancel(id, number);
 }
 
 void DirectorActor::reject(const RequestId& id, Seconds retry_after) {
-  Request* request = owed(id);
+  Request* request = find_unanswered(id);
   if (!request) return;
-  answered(*request);
+  mark_answered(*request);
   ++counters_.bounced;
   if (const auto response_sink = request->response_sink.lock()) response_sink->rejected(id, retry_after);
-  mailbox_.post([this, id] { forget_if_quiet(id); });
+  mailbox_.post([this, id] { erase_if_finished(id); });
 }
 
 void DirectorActor::fail(const RequestId& id) {
-  Request* request = owed(id);
+  Request* request = find_unanswered(id);
   if (!request) return;
-  answered(*request);
+  mark_answered(*request);
   ++counters_.forfeited;
   if (const auto response_sink = request->response_sink.lock()) response_sink->failed(id);
-  mailbox_.post([this, id] { forget_if_quiet(id); });
+  mailbox_.post([this, id] { erase_if_finished(id); });
 }
 
 void DirectorActor::set_timer(Seconds at, const TimerToken& token) {
@@ -392,14 +404,14 @@
   });
 }
 
-// No deployment lets a director probe today; the module does not ask for it.
+// No deployment permits probes today, and the Director does not ask for any.
 void DirectorActor::probe(const NodeId& node) {
   mailbox_.post([this, node] { director_->probe_ended(clock_.now(), node, Result::kNotSent, {}); });
 }
 
-// The change log is followed from the start, whatever the module asks.
+// The change stream is read from the start, whether or not the Director asks for it.
 void DirectorActor::watch_list() {}
 
-void DirectorActor::log(const std::string& words) { log_.info("module", "{}", words); }
+void DirectorActor::log(const std::string& message) { log_.info("module", "{}", message); }
 
 }  // namespace hareramp::routing
--- a/src/routing/director_actor.hpp
+++ b/src/routing/director_actor.hpp
@@ -1,5 +1,6 @@
-// The actor of the decision module, and the only caller of Director. Whatever happens anywhere is posted
-// here; what the module wants done is posted on to the peers and to the clients.
+// The actor that owns the Director, and its only caller. Every event (a request, the end of an attempt, a
+// change of the stream, a timer) is posted to this actor; the actions that the Director decides on are posted
+// on to the upstream nodes and to the clients' connections.
 #pragma once
 
 #include <functional>
@@ -23,7 +24,8 @@
 
 namespace hareramp::routing {
 
-// Whoever asked for a request. Gets one of these, once, and none if it has left before.
+// Receives the answer to a request: exactly one of these calls, or none if the client has disconnected
+// before.
 class ResponseSink {
  public:
   virtual ~ResponseSink() = default;
@@ -32,13 +34,13 @@
   virtual void failed(const RequestId& request) = 0;
 };
 
-// The names that stand for indexes in the settings.
+// The names behind the indexes that the settings use for request classes, zones and kinds of nodes.
 struct ConfiguredNames {
   std::vector<std::string> request_classes, zones, kinds;
-  std::vector<bool> writes;  // by grade, where the settings tell
+  std::vector<bool> writes;  // by request class: whether it is a write; shorter where the settings do not say
 };
 
-class DirectorActor : public Attempts, public distribution::ChangeReceiver, private Actions {
+class DirectorActor : public AttemptObserver, public distribution::ChangeReceiver, private Actions {
  public:
   DirectorActor(transport::Scheduler& scheduler, const Limits& limits, Counters& counters, Log& log,
                 ConfiguredNames names, Settings settings, std::uint64_t seed,
@@ -46,17 +48,19 @@
   ~DirectorActor() override;
 
   void start();
-  std::size_t open_requests() const { return open_; }
+  std::size_t open_requests() const { return open_requests_; }
 
-  // Guards against sending on what was true before the process stood still: drains and purges told meanwhile
-  // wait in the change log's socket beside the requests. Until then only changes reach the module.
-  void woke_late(Seconds listen_until);
+  // To be called when the scheduler's turn came very late, as after the process was suspended. Until
+  // hold_until only changes reach the Director, and requests wait. Guards against attempts that are sent by
+  // outdated state: drains and purges issued during the pause are still unread in the change stream's socket,
+  // next to the requests.
+  void woke_late(Seconds hold_until);
 
-  // The director is to end: whatever is open or still comes gets its final answer by that moment of the
-  // scheduler's time, as its class allows (Director::deadlines_end).
+  // For the end of the process: every request, open or still to arrive, gets its final answer by this moment
+  // of the scheduler's time, rejected or failed as its request class allows (Director::cap_deadlines).
   void cap_deadlines(Seconds at);
 
-  // From here on each call only posts.
+  // The calls below only post to the actor's mailboxes.
   void known_change_arrived(protocol::Json change) override;
   void changes_arrived(std::vector<distribution::NumberedChange> changes, bool more_waits,
                        std::function<void(bool taken)> done) override;
@@ -64,56 +68,57 @@
                        PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
                        bool is_write, std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
                        std::weak_ptr<ResponseSink> response_sink);
-  void request_left(const RequestId& request);
-  // A request that a limit kept from the module: counted, and answered by whoever calls.
-  void turned_back() { ++counters_.taken, ++counters_.bounced, ++counters_.turned_back; }
-  void ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
-             AnswerDetail note, Seconds waited, LoadReport report, Content content) override;
+  void client_left(const RequestId& request);
+  // Counts a request that was rejected at a limit of this process and does not reach the Director; the caller
+  // answers it.
+  void count_rejected_at_limit() { ++counters_.taken, ++counters_.bounced, ++counters_.turned_back; }
+  void attempt_ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
+                     AnswerDetail detail, Seconds waited, LoadReport report, Content content) override;
   Seconds max_copy_age(const RequestId& request) override {
     return director_->max_copy_age(clock_.now(), request);
   }
 
  private:
-  struct Out {
+  struct SentAttempt {
     NodeId node;
-    Seconds sent = 0;
-    bool out = true;
+    Seconds sent_at = 0;
+    bool in_flight = true;
   };
   struct Request {
     std::shared_ptr<const protocol::ForwardedRequest> forwarded_request;
     std::weak_ptr<ResponseSink> response_sink;
     Seconds deadline = 0;  // the scheduler's time
-    transport::Scheduler::TimerKey last_resort;
-    bool owed = true;
-    std::vector<Out> outs;
+    transport::Scheduler::TimerKey overdue_timer;
+    bool unanswered = true;
+    std::vector<SentAttempt> sent_attempts;
   };
-  class Changes;
+  class ChangeApplier;
 
-  void arrived(const RequestId& request, RequestClassIndex request_class, ObjectId object, PartNumber part,
-               GroupId group, Seconds deadline, double size_kb, bool resent, bool is_write,
-               std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
-               std::weak_ptr<ResponseSink> response_sink);
-  void attempt_ended(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
-                     AnswerDetail note, Seconds waited, const LoadReport& report, Content content);
-  void end_by_last_resort(const RequestId& request);
-  void watch_overdue(const RequestId& id, Request& request);
-  Request* owed(const RequestId& request);
-  void answered(Request& request);
-  void forget_if_quiet(const RequestId& request);
-  void count(Result result);
-  static transport::Task<> live(DirectorActor& self);
-  static transport::Task<> hear(DirectorActor& self);
+  void handle_request(const RequestId& request, RequestClassIndex request_class, ObjectId object,
+                      PartNumber part, GroupId group, Seconds deadline, double size_kb, bool resent,
+                      bool is_write, std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
+                      std::weak_ptr<ResponseSink> response_sink);
+  void handle_attempt_end(const RequestId& request, AttemptNumber number, const NodeId& node, Result result,
+                          AnswerDetail detail, Seconds waited, const LoadReport& report, Content content);
+  void end_overdue(const RequestId& request);
+  void set_overdue_timer(const RequestId& id, Request& request);
+  Request* find_unanswered(const RequestId& request);
+  void mark_answered(Request& request);
+  void erase_if_finished(const RequestId& request);
+  void count_result(Result result);
+  static transport::Task<> serve_requests(DirectorActor& self);
+  static transport::Task<> serve_changes(DirectorActor& self);
 
-  // Actions, called from within the director.
+  // Actions, called by the Director from within its own methods.
   void attempt(const RequestId& request, const NodeId& node, const FillOptions& fill,
-               Seconds time_out) override;
+               Seconds timeout) override;
   void cancel(const RequestId& request, AttemptNumber number) override;
   void reject(const RequestId& request, Seconds retry_after) override;
   void fail(const RequestId& request) override;
   void set_timer(Seconds at, const TimerToken& token) override;
   void probe(const NodeId& node) override;
   void watch_list() override;
-  void log(const std::string& words) override;
+  void log(const std::string& message) override;
 
   transport::Scheduler& scheduler_;
   const Limits& limits_;
@@ -121,13 +126,13 @@
   Log& log_;
   ConfiguredNames names_;
   flow::Exporter* const flows_;            // null: flows are not exported
-  std::string parent_kind_, origin_kind_;  // by index, as the settings name them
+  std::string parent_kind_, origin_kind_;  // the indexes of two kinds, as text, as in the settings
   transport::Clock clock_;
-  transport::Mailbox mailbox_, told_;         // told_: changes alone
-  Seconds held_until_ = 0;                    // what is in mailbox_ waits until then
-  Seconds deadline_cap_ = transport::kNever;  // no deadline lies after that, and nothing is held for longer
-  bool changes_wait_ = false;                 // the change stream had more to read than it has brought
-  std::size_t links_ = 0, open_ = 0;
+  transport::Mailbox mailbox_, change_mailbox_;  // change_mailbox_ is never held
+  Seconds hold_until_ = 0;                       // calls in mailbox_ wait until then
+  Seconds deadline_cap_ = transport::kNever;     // no deadline is later, and nothing is held for longer
+  bool change_backlog_ = false;  // the change stream had more to read when its last changes arrived
+  std::size_t connection_count_ = 0, open_requests_ = 0;
   std::map<NodeId, std::shared_ptr<UpstreamNode>> upstream_nodes_;
   std::map<NodeId, transport::Address> addresses_;
   std::map<RequestId, Request> requests_;
--- a/src/routing/upstream_message.cpp
+++ b/src/routing/upstream_message.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::size_t kHeldBytes = 2;  // the line's end behind a write's body
+constexpr std::size_t kHeldBackBytes = 2;  // the line end after the body of a write
 
-// The lesser of two bounds on a copy's age, where 0 bounds nothing.
+// The smaller of two bounds on the age of a copy, where 0 means no bound.
 Seconds stricter(Seconds one, Seconds other) {
   if (one <= 0) return other;
   if (other <= 0) return one;
@@ -35,17 +35,17 @@
   return message;
 }
 
-bool UpstreamMessage::may_begin(Seconds now) const {
+bool UpstreamMessage::may_be_sent(Seconds now) const {
   return !forwarded_request || (now < give_up_at && !forwarded_request->client_gone);
 }
 
 void UpstreamMessage::encode(Seconds now, const NodeId& node, Seconds max_copy_age, bool hold_back_end) {
   if (!forwarded_request) return;
-  FillOptions terms = fill;
-  terms.max_copy_age = stricter(fill.max_copy_age, max_copy_age);
-  bytes = protocol::serve_line(request, *forwarded_request, give_up_at - now, node, terms);
-  held = hold_back_end && !forwarded_request->body.empty() ? kHeldBytes : 0;
-  whole_at = 0;
+  FillOptions fill_options = fill;
+  fill_options.max_copy_age = stricter(fill.max_copy_age, max_copy_age);
+  bytes = protocol::serve_line(request, *forwarded_request, give_up_at - now, node, fill_options);
+  held_back = hold_back_end && !forwarded_request->body.empty() ? kHeldBackBytes : 0;
+  release_at = 0;
 }
 
 }  // namespace hareramp::routing
--- a/src/routing/upstream_message.hpp
+++ b/src/routing/upstream_message.hpp
@@ -1,8 +1,8 @@
-// A message that waits to be written to a node: the command of an attempt, or that of cancelling one.
+// A message queued for writing to a node: the command of an attempt, or the command that cancels one.
 //
-// An attempt tells the node how much time is left and how old a copy may be. Both are true only at the moment
-// of writing, which may be long after the attempt was queued. So its bytes are made (encode) right before the
-// first of them is written, and made anew where none of them has been.
+// The command of an attempt carries the time that is left and the greatest age of a copy. Both are true only
+// at the moment of writing, which may be long after the attempt was queued. So the command is encoded right
+// before its first byte is written, and encoded again at each try as long as no byte has been written.
 #pragma once
 
 #include <cstddef>
@@ -20,20 +20,20 @@
                                  const FillOptions& fill, Seconds give_up_at);
   static UpstreamMessage cancel(const RequestId& request);
 
-  // Whether its first byte may be written at this time (of the scheduler): an attempt has time left, and its
-  // client still waits.
-  bool may_begin(Seconds now) const;
-  // Makes the bytes of an attempt as they must read if the first is written now. oldest_copy is what the
-  // module says at this moment, 0 for any age; it can only make the bound of the fill terms stricter.
-  // hold_back_end: the last bytes of a write are to be held back for a moment.
+  // Whether the first byte may be written at this moment of the scheduler's time: an attempt must have time
+  // left, and its client must still be connected.
+  bool may_be_sent(Seconds now) const;
+  // Encodes the command of an attempt for a write that begins now. max_copy_age is the Director's bound at
+  // this moment, 0 for any age; it can only make the bound in the fill options stricter. hold_back_end: the
+  // last bytes of a write are to be held back for a short time (Limits::final_write_delay).
   void encode(Seconds now, const NodeId& node, Seconds max_copy_age, bool hold_back_end);
 
   std::string bytes;
-  RequestId request;     // empty: a cancel, which nobody waits for
-  std::size_t held = 0;  // bytes of its end that are held back for a moment
-  Seconds whole_at = 0;  // when they may go, once all before them has gone; 0 until then
+  RequestId request;          // empty for a cancel command, which no attempt waits for
+  std::size_t held_back = 0;  // bytes at the end that are held back for a short time
+  Seconds release_at = 0;     // when these may be written; 0 until all bytes before them have been
 
-  // Of an attempt alone.
+  // Set for an attempt only.
   std::shared_ptr<const protocol::ForwardedRequest> forwarded_request;
   FillOptions fill;
   Seconds give_up_at = 0;  // the scheduler's time
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -13,7 +13,7 @@
 using transport::Task;
 
 namespace {
-constexpr Seconds kWriteAgain = 0.01;  // s: after a write that failed, while the connection stands
+constexpr Seconds kWriteRetryDelay = 0.01;  // s: after a failed write on a connection that is still up
 }  // namespace
 
 class UpstreamNode::UpstreamConnection : public protocol::AnswerHandler {
@@ -21,81 +21,88 @@
   enum class State { kConnecting, kUp, kClosed };
 
   UpstreamConnection(UpstreamNode& owner, const Limits& limits)
-      : peer(owner), in(limits.retained_buffer), parser(limits.max_answer_line, limits.max_answer_body) {}
+      : node(owner),
+        read_buffer(limits.retained_buffer),
+        parser(limits.max_answer_line, limits.max_answer_body) {}
 
-  void answer(std::string_view id, Result result, AnswerDetail note, Seconds waited, bool same_copy,
+  void answer(std::string_view id, Result result, AnswerDetail detail, Seconds waited, bool same_copy,
               std::string_view tag, const LoadReport& report, std::string_view body) override {
     const RequestId request{std::string(id)};
-    if (!open.contains(request)) {
-      ++peer.counters_.late_answers;  // called off or given up while the answer was on its way
+    if (!open_attempts.contains(request)) {
+      ++node.counters_.late_answers;  // cancelled or abandoned while the answer was on its way
       return;
     }
-    peer.counters_.bytes_filled += body.size();
-    peer.book(*this, open.at(request), result, note, parser.answer_bytes());
-    // Guards against a node that takes more connections than it serves and turns away whatever comes on those
-    // too many, for as long as they stand: what comes next goes out on another. Also meets a node that is
-    // full; there it costs a connection set up anew, by each of many directors, until one has been served.
-    const bool turned_away = result == Result::kRejected && note == AnswerDetail::kNone;
-    if (turned_away && !served && !std::exchange(retiring, true)) ++peer.counters_.links_turned_away;
-    served = served || !turned_away;
-    if (result != Result::kCompleted) remember(request);  // it may come again, and its answer may come twice
-    peer.end(self.lock(), request, result, note, waited, report,
-             Content{same_copy, std::string(tag), std::string(body), note});
+    node.counters_.bytes_filled += body.size();
+    node.record_flow(*this, open_attempts.at(request), result, detail, parser.answer_bytes());
+    // Guards against a node that accepts more connections than it serves, and rejects every request on the
+    // excess ones for as long as they are open: a connection on which the node has only rejected requests
+    // gets no further attempt, and the next one goes out on another connection. This applies to an overloaded
+    // node too; the cost there is a new connection, from each of many directors, until a request has been
+    // served on one.
+    const bool rejected = result == Result::kRejected && detail == AnswerDetail::kNone;
+    if (rejected && !served && !std::exchange(retiring, true)) ++node.counters_.links_turned_away;
+    served = served || !rejected;
+    if (result != Result::kCompleted)
+      expect_late_answer(request);  // the request may be retried, and its answer may arrive twice
+    node.end_attempt(weak_self.lock(), request, result, detail, waited, report,
+                     Content{same_copy, std::string(tag), std::string(body), detail});
   }
 
-  void unknown_field(std::string_view) override { ++peer.counters_.unknown_fields; }
-  void remember(const RequestId& request) {
-    heard_of.insert(request);
-    heard_of_at.emplace_back(Scheduler::now(), request);
+  void unknown_field(std::string_view) override { ++node.counters_.unknown_fields; }
+  void expect_late_answer(const RequestId& request) {
+    late_answer_ids.insert(request);
+    late_answer_times.emplace_back(Scheduler::now(), request);
   }
-  void forget_until(Seconds old) {
-    for (; !heard_of_at.empty() && heard_of_at.front().first < old; heard_of_at.pop_front())
-      heard_of.erase(heard_of_at.front().second);
+  void expire_late_answers(Seconds expired_before) {
+    for (; !late_answer_times.empty() && late_answer_times.front().first < expired_before;
+         late_answer_times.pop_front())
+      late_answer_ids.erase(late_answer_times.front().second);
   }
-  // The first byte of it has left.
-  bool begun(const RequestId& request) const {
-    if (!out.empty() && out.front().request == request) return out_sent > 0;
-    return std::none_of(out.begin(), out.end(),
-                        [&](const UpstreamMessage& piece) { return piece.request == request; });
+  // Whether the first byte of the request's message has been written.
+  bool write_started(const RequestId& request) const {
+    if (!outgoing.empty() && outgoing.front().request == request) return first_message_bytes_written > 0;
+    return std::none_of(outgoing.begin(), outgoing.end(),
+                        [&](const UpstreamMessage& message) { return message.request == request; });
   }
 
-  UpstreamNode& peer;
-  std::weak_ptr<UpstreamConnection> self;
+  UpstreamNode& node;
+  std::weak_ptr<UpstreamConnection> weak_self;
   State state = State::kConnecting;
   transport::Socket socket;
-  flow::FlowObserver* tap = nullptr;  // in the socket, as long as that is open
-  transport::Buffer in;
+  flow::FlowObserver* flow_observer = nullptr;  // owned by the socket; null once that is closed
+  transport::Buffer read_buffer;
   protocol::AnswerParser parser;
-  std::deque<UpstreamMessage> out;
-  std::size_t out_sent = 0;   // bytes of the first piece that are written
-  bool writes_again = false;  // after a write that failed, in a moment
-  bool draining = false, retiring = false, suspect = false;
-  bool served = false;  // the node has answered something on it but that it is full
-  std::map<RequestId, Open> open;
-  std::set<RequestId> heard_of;  // given up or answered, but not completed: an answer may still come
-  std::deque<std::pair<Seconds, RequestId>> heard_of_at;
-  Seconds heard_at = 0;
+  std::deque<UpstreamMessage> outgoing;
+  std::size_t first_message_bytes_written = 0;  // bytes written of the first message in outgoing
+  bool write_retry_scheduled = false;           // after a failed write
+  bool awaiting_writable = false, retiring = false, suspect = false;
+  bool served = false;  // the node has answered something other than a plain rejection on this connection
+  std::map<RequestId, OpenAttempt> open_attempts;
+  std::set<RequestId>
+      late_answer_ids;  // abandoned, or answered but not completed: another answer may still arrive
+  std::deque<std::pair<Seconds, RequestId>> late_answer_times;
+  Seconds last_read_at = 0;
   Seconds idle_since = 0;
-  bool idle_watched = false;
+  bool idle_timer_set = false;
 };
 
-UpstreamNode::UpstreamNode(Scheduler& scheduler, const Limits& limits, Counters& counters, std::size_t& links,
-                           NodeId node, transport::Address address, Attempts& told, flow::Exporter* flows,
-                           ipfix::NodeRole part)
+UpstreamNode::UpstreamNode(Scheduler& scheduler, const Limits& limits, Counters& counters,
+                           std::size_t& connection_count, NodeId node, transport::Address address,
+                           AttemptObserver& observer, flow::Exporter* flows, ipfix::NodeRole role)
     : scheduler_(scheduler),
       limits_(limits),
       counters_(counters),
-      links_held_(links),
+      connection_count_(connection_count),
       node_(std::move(node)),
       address_(address),
-      told_(told),
+      observer_(observer),
       flows_(flows),
-      part_(part),
+      role_(role),
       mailbox_(scheduler) {}
 
-void UpstreamNode::start() { scheduler_.spawn(live(shared_from_this())); }
+void UpstreamNode::start() { scheduler_.spawn(serve_mailbox(shared_from_this())); }
 
-Task<> UpstreamNode::live(std::shared_ptr<UpstreamNode> self) { co_await self->mailbox_.serve(); }
+Task<> UpstreamNode::serve_mailbox(std::shared_ptr<UpstreamNode> self) { co_await self->mailbox_.serve(); }
 
 void UpstreamNode::attempt(const RequestId& request, AttemptNumber number,
                            std::shared_ptr<const protocol::ForwardedRequest> forwarded_request,
@@ -107,232 +114,254 @@
 }
 
 void UpstreamNode::cancel(const RequestId& request, AttemptNumber number) {
-  mailbox_.post([this, request, number] { give_up(request, number, Result::kCancelled); });
+  mailbox_.post([this, request, number] { abandon_attempt(request, number, Result::kCancelled); });
 }
 
-// What is out stays with the old address until it ends; only new work goes to the new one.
-void UpstreamNode::moved(transport::Address address) {
+// Open attempts stay on connections to the old address until they end; only new ones go to the new address.
+void UpstreamNode::set_address(transport::Address address) {
   mailbox_.post([this, address] {
     address_ = address;
-    for (const ConnectionPointer& link : std::list<ConnectionPointer>(links_)) {
-      link->retiring = true;
-      settle(link);
+    for (const ConnectionPointer& connection : std::list<ConnectionPointer>(connections_)) {
+      connection->retiring = true;
+      handle_idle(connection);
     }
   });
 }
 
-void UpstreamNode::gone() {
+void UpstreamNode::retire() {
   mailbox_.post([this] {
-    gone_ = true;
-    for (const ConnectionPointer& link : std::list<ConnectionPointer>(links_)) settle(link);
-    if (links_.empty()) mailbox_.close();
+    retired_ = true;
+    for (const ConnectionPointer& connection : std::list<ConnectionPointer>(connections_))
+      handle_idle(connection);
+    if (connections_.empty()) mailbox_.close();
   });
 }
 
-// A connection that may carry this request: one with nothing out, else a new one, else the one with least
-// out. Guards against an answer that can't be read, stops short or never comes, and against resets: whatever
-// else is out on such a connection is lost with it. Costs descriptors, and a connection set up now and then.
-// The same id may not be there twice, also not while an answer to an earlier attempt may still come: nothing
-// on the wire would tell the two apart.
-UpstreamNode::ConnectionPointer UpstreamNode::choose_link(const RequestId& request) {
-  ConnectionPointer least = least_used_link(request, false);
-  if (least && least->open.empty()) return least;
-  if (links_.size() >= limits_.max_connections_per_node || links_held_ >= limits_.max_node_connections)
-    return least;
-  auto link = std::make_shared<UpstreamConnection>(*this, limits_);
-  link->self = link;
-  links_.push_back(link);
-  ++links_held_;
-  scheduler_.spawn(run(shared_from_this(), link));
-  return link;
+// Chooses a connection that may carry this request: one without open attempts, else a new one, else the one
+// with the fewest open attempts. Guards against resets, and against answers that are malformed, incomplete or
+// never arrive: all other attempts that are open on such a connection are lost with it. The cost is
+// descriptors, and a connection set up now and then. A connection never carries the same request id twice,
+// not even while an answer to an earlier attempt may still arrive: nothing in the protocol would tell the two
+// answers apart.
+UpstreamNode::ConnectionPointer UpstreamNode::choose_connection(const RequestId& request) {
+  ConnectionPointer least_loaded = least_loaded_connection(request, false);
+  if (least_loaded && least_loaded->open_attempts.empty()) return least_loaded;
+  if (connections_.size() >= limits_.max_connections_per_node ||
+      connection_count_ >= limits_.max_node_connections)
+    return least_loaded;
+  auto connection = std::make_shared<UpstreamConnection>(*this, limits_);
+  connection->weak_self = connection;
+  connections_.push_back(connection);
+  ++connection_count_;
+  scheduler_.spawn(run_connection(shared_from_this(), connection));
+  return connection;
 }
 
-UpstreamNode::ConnectionPointer UpstreamNode::least_used_link(const RequestId& request, bool must_be_up) {
-  const Seconds old = Scheduler::now() - limits_.node_idle_timeout;
-  ConnectionPointer least;
-  for (const ConnectionPointer& link : links_) {
-    if (must_be_up && link->state != UpstreamConnection::State::kUp) continue;
-    if (link->retiring || link->suspect || link->open.size() >= limits_.max_attempts_per_connection) continue;
-    link->forget_until(old);
-    if (link->open.contains(request) || link->heard_of.contains(request)) continue;
-    if (link->open.empty() && link->state == UpstreamConnection::State::kUp && link->socket.ended()) continue;
-    if (!least || link->open.size() < least->open.size()) least = link;
+UpstreamNode::ConnectionPointer UpstreamNode::least_loaded_connection(const RequestId& request,
+                                                                      bool must_be_up) {
+  const Seconds expired_before = Scheduler::now() - limits_.node_idle_timeout;
+  ConnectionPointer least_loaded;
+  for (const ConnectionPointer& connection : connections_) {
+    if (must_be_up && connection->state != UpstreamConnection::State::kUp) continue;
+    if (connection->retiring || connection->suspect ||
+        connection->open_attempts.size() >= limits_.max_attempts_per_connection)
+      continue;
+    connection->expire_late_answers(expired_before);
+    if (connection->open_attempts.contains(request) || connection->late_answer_ids.contains(request))
+      continue;
+    if (connection->open_attempts.empty() && connection->state == UpstreamConnection::State::kUp &&
+        connection->socket.ended())
+      continue;
+    if (!least_loaded || connection->open_attempts.size() < least_loaded->open_attempts.size())
+      least_loaded = connection;
   }
-  return least;
+  return least_loaded;
 }
 
 void UpstreamNode::send(AttemptNumber number, UpstreamMessage message) {
   const RequestId request = message.request;
   const Seconds now = Scheduler::now();
-  const ConnectionPointer link = message.may_begin(now) ? choose_link(request) : nullptr;
-  if (!link) return told_.ended(request, number, node_, Result::kNotSent, AnswerDetail::kNone, 0, {}, {});
+  const ConnectionPointer connection = message.may_be_sent(now) ? choose_connection(request) : nullptr;
+  if (!connection)
+    return observer_.attempt_ended(request, number, node_, Result::kNotSent, AnswerDetail::kNone, 0, {}, {});
   const Seconds give_up_at = message.give_up_at;
-  Open open;
-  open.number = number;
-  open.request_class = {message.forwarded_request->request_class_number};
-  open.location = {message.forwarded_request->location_number};
-  open.timer = watch(request, number, std::min(give_up_at, now + limits_.send_start_timeout), give_up_at);
-  link->open.emplace(request, open);
-  link->out.push_back(std::move(message));
-  pump(link);
+  OpenAttempt open_attempt;
+  open_attempt.number = number;
+  open_attempt.request_class = {message.forwarded_request->request_class_number};
+  open_attempt.location = {message.forwarded_request->location_number};
+  open_attempt.timer =
+      set_attempt_timer(request, number, std::min(give_up_at, now + limits_.send_start_timeout), give_up_at);
+  connection->open_attempts.emplace(request, open_attempt);
+  connection->outgoing.push_back(std::move(message));
+  start_writing(connection);
 }
 
-Scheduler::TimerKey UpstreamNode::watch(const RequestId& request, AttemptNumber number, Seconds until,
-                                        Seconds give_up_at) {
+Scheduler::TimerKey UpstreamNode::set_attempt_timer(const RequestId& request, AttemptNumber number,
+                                                    Seconds until, Seconds give_up_at) {
   return scheduler_.at(until, [weak = weak_from_this(), request, number, give_up_at] {
-    const auto peer = weak.lock();
-    if (!peer) return;
-    for (const ConnectionPointer& link : peer->links_) {
-      const auto found = link->open.find(request);
-      if (found == link->open.end() || found->second.number != number) continue;
-      if (!link->begun(request) || Scheduler::now() >= give_up_at) break;
-      found->second.timer = peer->watch(request, number, give_up_at, give_up_at);
+    const auto node = weak.lock();
+    if (!node) return;
+    for (const ConnectionPointer& connection : node->connections_) {
+      const auto found = connection->open_attempts.find(request);
+      if (found == connection->open_attempts.end() || found->second.number != number) continue;
+      if (!connection->write_started(request) || Scheduler::now() >= give_up_at) break;
+      found->second.timer = node->set_attempt_timer(request, number, give_up_at, give_up_at);
       return;
     }
-    peer->give_up(request, number, Result::kTimedOut);
+    node->abandon_attempt(request, number, Result::kTimedOut);
   });
 }
 
-void UpstreamNode::give_up(const RequestId& request, AttemptNumber number, Result result) {
-  for (const ConnectionPointer& link : std::list<ConnectionPointer>(links_)) {
-    const auto found = link->open.find(request);
-    if (found == link->open.end() || found->second.number != number) continue;
-    const Open open = found->second;
-    if (!open.written) {
-      // It has not come whole to the node, so it never ran: no connection came up, or the node does not read.
-      // If a part of it is on the way, the node must not get the rest: the connection goes, and what else was
-      // out on it may have run. If none is, it must not go out later either, once the node has long been
-      // drained, or with the age bound of a time before a purge.
-      const bool begun = link->begun(request);
-      end(link, request, result == Result::kTimedOut ? Result::kUnreachable : Result::kNotSent,
-          AnswerDetail::kNone, 0, {}, {});
-      if (begun) return drop(link);
-      std::erase_if(link->out, [&](const UpstreamMessage& piece) { return piece.request == request; });
-      return settle(link);
+void UpstreamNode::abandon_attempt(const RequestId& request, AttemptNumber number, Result result) {
+  for (const ConnectionPointer& connection : std::list<ConnectionPointer>(connections_)) {
+    const auto found = connection->open_attempts.find(request);
+    if (found == connection->open_attempts.end() || found->second.number != number) continue;
+    const OpenAttempt open_attempt = found->second;
+    if (!open_attempt.written) {
+      // The node has not received the whole command, so the attempt never ran: no connection came up, or the
+      // node does not read. If part of the command has been written, the node must not get the rest: the
+      // connection is closed, and the other attempts written to it may have run. If nothing has been written,
+      // the command must not be sent later either, when the node may long have been drained, or with an age
+      // bound from before a purge.
+      const bool started = connection->write_started(request);
+      end_attempt(connection, request, result == Result::kTimedOut ? Result::kUnreachable : Result::kNotSent,
+                  AnswerDetail::kNone, 0, {}, {});
+      if (started) return close_connection(connection);
+      std::erase_if(connection->outgoing,
+                    [&](const UpstreamMessage& message) { return message.request == request; });
+      return handle_idle(connection);
     }
     const Seconds now = Scheduler::now();
-    link->remember(request);
-    link->out.push_back(UpstreamMessage::cancel(request));
-    // Guards against a node that vanished without a word: its connections look open for ever. Also meets a
-    // path that went dead. Costs a connection set up anew where a node was only slow.
-    if (link->heard_at < open.written_at && now - open.written_at > limits_.suspect_timeout) {
-      link->suspect = true;
+    connection->expect_late_answer(request);
+    connection->outgoing.push_back(UpstreamMessage::cancel(request));
+    // Guards against a node that disappears without closing its connections, which then look open for ever,
+    // and against a network path that is broken. The cost: a new connection where the node was only slow.
+    if (connection->last_read_at < open_attempt.written_at &&
+        now - open_attempt.written_at > limits_.suspect_timeout) {
+      connection->suspect = true;
       ++counters_.links_doubted;
     }
-    end(link, request, result, AnswerDetail::kNone, 0, {}, {});
-    if (link->state == UpstreamConnection::State::kUp) pump(link);
+    end_attempt(connection, request, result, AnswerDetail::kNone, 0, {}, {});
+    if (connection->state == UpstreamConnection::State::kUp) start_writing(connection);
     return;
   }
 }
 
-void UpstreamNode::end(const ConnectionPointer& link, const RequestId& request, Result result,
-                       AnswerDetail note, Seconds waited, LoadReport report, Content content) {
-  const auto found = link->open.find(request);
+void UpstreamNode::end_attempt(const ConnectionPointer& connection, const RequestId& request, Result result,
+                               AnswerDetail detail, Seconds waited, LoadReport report, Content content) {
+  const auto found = connection->open_attempts.find(request);
   const AttemptNumber number = found->second.number;
-  book(*link, found->second, result, note, 0);
+  record_flow(*connection, found->second, result, detail, 0);
   scheduler_.cancel(found->second.timer);
-  link->open.erase(found);
-  told_.ended(request, number, node_, result, note, waited, std::move(report), std::move(content));
-  settle(link);
+  connection->open_attempts.erase(found);
+  observer_.attempt_ended(request, number, node_, result, detail, waited, std::move(report),
+                          std::move(content));
+  handle_idle(connection);
 }
 
-// A connection with nothing out closes if it is not to be used again, and else after a while, before the
-// node does: an attempt that crosses the node's close would count as one that may have run.
-void UpstreamNode::settle(const ConnectionPointer& link) {
-  if (link->state != UpstreamConnection::State::kUp || !link->open.empty()) return;
-  if (link->retiring || link->suspect || gone_) {
-    scheduler_.at(Scheduler::now(), [peer = shared_from_this(), link] {
-      if (link->open.empty()) peer->drop(link);
+// Closes a connection without open attempts at once if it must not be used again, and otherwise after
+// node_idle_timeout, which is before the node closes it: an attempt sent while the node closes the connection
+// would count as one that may have run.
+void UpstreamNode::handle_idle(const ConnectionPointer& connection) {
+  if (connection->state != UpstreamConnection::State::kUp || !connection->open_attempts.empty()) return;
+  if (connection->retiring || connection->suspect || retired_) {
+    scheduler_.at(Scheduler::now(), [node = shared_from_this(), connection] {
+      if (connection->open_attempts.empty()) node->close_connection(connection);
     });
     return;
   }
-  link->idle_since = Scheduler::now();
-  if (!std::exchange(link->idle_watched, true))
-    watch_idle(link, link->idle_since + limits_.node_idle_timeout);
+  connection->idle_since = Scheduler::now();
+  if (!std::exchange(connection->idle_timer_set, true))
+    set_idle_timer(connection, connection->idle_since + limits_.node_idle_timeout);
 }
 
-void UpstreamNode::watch_idle(const ConnectionPointer& link, Seconds until) {
-  scheduler_.at(until, [weak = weak_from_this(), link] {
-    const auto peer = weak.lock();
-    link->idle_watched = false;
-    if (!peer || link->state != UpstreamConnection::State::kUp || !link->open.empty()) return;
-    const Seconds due = link->idle_since + peer->limits_.node_idle_timeout;
+void UpstreamNode::set_idle_timer(const ConnectionPointer& connection, Seconds until) {
+  scheduler_.at(until, [weak = weak_from_this(), connection] {
+    const auto node = weak.lock();
+    connection->idle_timer_set = false;
+    if (!node || connection->state != UpstreamConnection::State::kUp || !connection->open_attempts.empty())
+      return;
+    const Seconds due = connection->idle_since + node->limits_.node_idle_timeout;
     if (Scheduler::now() < due) {
-      link->idle_watched = true;
-      return peer->watch_idle(link, due);
+      connection->idle_timer_set = true;
+      return node->set_idle_timer(connection, due);
     }
-    ++peer->counters_.links_idle;
-    peer->drop(link);
+    ++node->counters_.links_idle;
+    node->close_connection(connection);
   });
 }
 
-// Ends the connection; what is out on it ends by what is known of it.
-void UpstreamNode::drop(const ConnectionPointer& link) {
-  if (link->state == UpstreamConnection::State::kClosed) return;
-  link->state = UpstreamConnection::State::kClosed;
-  for (auto& [request, open] : link->open)
-    book(*link, open, open.written ? Result::kBroken : Result::kNotSent, AnswerDetail::kNone, 0);
-  link->tap = nullptr;  // goes with the socket
-  link->socket.close();
-  if (!link->open.empty()) ++counters_.links_broken;
-  forget(link);
-  end_all(link, Result::kBroken, Result::kNotSent, true);
+// Closes the connection. Its open attempts end as broken where the command was written whole, so that they
+// may have run; the others are moved to another connection or end as not sent.
+void UpstreamNode::close_connection(const ConnectionPointer& connection) {
+  if (connection->state == UpstreamConnection::State::kClosed) return;
+  connection->state = UpstreamConnection::State::kClosed;
+  for (auto& [request, open_attempt] : connection->open_attempts)
+    record_flow(*connection, open_attempt, open_attempt.written ? Result::kBroken : Result::kNotSent,
+                AnswerDetail::kNone, 0);
+  connection->flow_observer = nullptr;  // destroyed when the socket closes
+  connection->socket.close();
+  if (!connection->open_attempts.empty()) ++counters_.links_broken;
+  remove_connection(connection);
+  end_attempts(connection, Result::kBroken, Result::kNotSent, true);
 }
 
-void UpstreamNode::forget(const ConnectionPointer& link) {
-  links_.remove(link);
-  --links_held_;
-  if (gone_ && links_.empty()) mailbox_.close();
+void UpstreamNode::remove_connection(const ConnectionPointer& connection) {
+  connections_.remove(connection);
+  --connection_count_;
+  if (retired_ && connections_.empty()) mailbox_.close();
 }
 
-// What has not come whole to the node never ran, and goes on once on another connection if it may: a reset
-// of one connection says little of the node.
-void UpstreamNode::end_all(const ConnectionPointer& link, Result written, Result unwritten,
-                           bool may_move_on) {
-  while (!link->open.empty()) {
-    const RequestId request = link->open.begin()->first;
-    Open& open = link->open.begin()->second;
+// An attempt whose command was not written whole never ran. It is moved to another connection, once, where
+// may_move_on allows that: the reset of one connection says little about the node.
+void UpstreamNode::end_attempts(const ConnectionPointer& connection, Result written, Result unwritten,
+                                bool may_move_on) {
+  while (!connection->open_attempts.empty()) {
+    const RequestId request = connection->open_attempts.begin()->first;
+    OpenAttempt& open_attempt = connection->open_attempts.begin()->second;
     const auto message =
-        std::find_if(link->out.begin(), link->out.end(),
-                     [&](const UpstreamMessage& waiting) { return waiting.request == request; });
+        std::find_if(connection->outgoing.begin(), connection->outgoing.end(),
+                     [&](const UpstreamMessage& candidate) { return candidate.request == request; });
     ConnectionPointer other;
-    if (!open.written && !open.moved_on && may_move_on && !gone_ && message != link->out.end())
-      other = choose_link(request);
+    if (!open_attempt.written && !open_attempt.moved && may_move_on && !retired_ &&
+        message != connection->outgoing.end())
+      other = choose_connection(request);
     if (!other) {
-      end(link, request, open.written ? written : unwritten, AnswerDetail::kNone, 0, {}, {});
+      end_attempt(connection, request, open_attempt.written ? written : unwritten, AnswerDetail::kNone, 0, {},
+                  {});
       continue;
     }
     ++counters_.moved_on;
-    open.moved_on = true;
-    move_attempt(link, std::move(*message), other);
+    open_attempt.moved = true;
+    move_attempt(connection, std::move(*message), other);
   }
-  link->out.clear();
+  connection->outgoing.clear();
 }
 
 void UpstreamNode::move_attempt(const ConnectionPointer& from, UpstreamMessage message,
                                 const ConnectionPointer& to) {
-  to->open.insert(from->open.extract(message.request));
-  message.bytes.clear();  // out of date by the time they are written there
-  to->out.push_back(std::move(message));
-  pump(to);
+  to->open_attempts.insert(from->open_attempts.extract(message.request));
+  message.bytes.clear();  // out of date by the time they are written to the other connection
+  to->outgoing.push_back(std::move(message));
+  start_writing(to);
 }
 
-void UpstreamNode::move_to_links_that_are_up(const ConnectionPointer& link) {
-  for (std::size_t left = link->out.size(); left > 0; --left) {
-    UpstreamMessage message = std::move(link->out.front());
-    link->out.pop_front();
-    const ConnectionPointer other = least_used_link(message.request, true);
+void UpstreamNode::move_to_connected(const ConnectionPointer& connection) {
+  for (std::size_t left = connection->outgoing.size(); left > 0; --left) {
+    UpstreamMessage message = std::move(connection->outgoing.front());
+    connection->outgoing.pop_front();
+    const ConnectionPointer other = least_loaded_connection(message.request, true);
     if (other) {
-      move_attempt(link, std::move(message), other);
+      move_attempt(connection, std::move(message), other);
     } else {
-      link->out.push_back(std::move(message));
+      connection->outgoing.push_back(std::move(message));
     }
   }
 }
 
-void UpstreamNode::book(UpstreamConnection& link, Open& open, Result result, AnswerDetail note,
-                        std::size_t octets_read) {
-  if (!link.tap) return;
+void UpstreamNode::record_flow(UpstreamConnection& connection, OpenAttempt& open_attempt, Result result,
+                               AnswerDetail detail, std::size_t octets_read) {
+  if (!connection.flow_observer) return;
   using ipfix::Outcome;
   Outcome outcome = Outcome::kForfeited;
   if (result == Result::kCompleted) outcome = Outcome::kCompleted;
@@ -340,153 +369,163 @@
   if (result == Result::kRejected || result == Result::kNotSent || result == Result::kAbsent ||
       result == Result::kUnreachable)
     outcome = Outcome::kBounced;
-  const std::size_t written = std::exchange(open.octets, 0);
-  if (written + octets_read == 0) return;  // nothing of it moved, or it is booked already
-  const ipfix::Label label{open.request_class, open.location, outcome, static_cast<std::uint8_t>(note)};
-  link.tap->wrote_for(label, written);
-  link.tap->read_for(label, octets_read);
-  link.tap->request_ended(label);
+  const std::size_t written = std::exchange(open_attempt.octets_written, 0);
+  if (written + octets_read == 0) return;  // nothing was transferred, or it has been recorded already
+  const ipfix::Label label{open_attempt.request_class, open_attempt.location, outcome,
+                           static_cast<std::uint8_t>(detail)};
+  connection.flow_observer->wrote_for(label, written);
+  connection.flow_observer->read_for(label, octets_read);
+  connection.flow_observer->request_ended(label);
 }
 
-// Notes so many more bytes of the first message as written, and whether that is whole now.
-void UpstreamNode::wrote(UpstreamConnection& link, std::size_t bytes) {
-  const UpstreamMessage& first = link.out.front();
-  const auto found = link.open.find(first.request);
-  const bool of_attempt = found != link.open.end();
-  if (of_attempt) found->second.octets += bytes;
-  link.out_sent += bytes;
-  if (link.out_sent < first.bytes.size()) return;
+// Counts these bytes of the first message as written, and marks its attempt as written once the message is
+// whole.
+void UpstreamNode::count_written(UpstreamConnection& connection, std::size_t bytes) {
+  const UpstreamMessage& first = connection.outgoing.front();
+  const auto found = connection.open_attempts.find(first.request);
+  const bool of_attempt = found != connection.open_attempts.end();
+  if (of_attempt) found->second.octets_written += bytes;
+  connection.first_message_bytes_written += bytes;
+  if (connection.first_message_bytes_written < first.bytes.size()) return;
   if (of_attempt) {
     found->second.written = true;
     found->second.written_at = Scheduler::now();
   }
-  link.out_sent = 0;
-  link.out.pop_front();
+  connection.first_message_bytes_written = 0;
+  connection.outgoing.pop_front();
 }
 
-bool UpstreamNode::prepare_first(const ConnectionPointer& link) {
-  UpstreamMessage& message = link->out.front();
+bool UpstreamNode::encode_first(const ConnectionPointer& connection) {
+  UpstreamMessage& message = connection->outgoing.front();
   const Seconds now = Scheduler::now();
-  if (message.may_begin(now)) {
+  if (message.may_be_sent(now)) {
     if (message.forwarded_request)
-      message.encode(now, node_, told_.max_copy_age(message.request), limits_.final_write_delay > 0);
+      message.encode(now, node_, observer_.max_copy_age(message.request), limits_.final_write_delay > 0);
     return true;
   }
   const RequestId request = message.request;
-  link->out.pop_front();
-  end(link, request, Result::kNotSent, AnswerDetail::kNone, 0, {}, {});
+  connection->outgoing.pop_front();
+  end_attempt(connection, request, Result::kNotSent, AnswerDetail::kNone, 0, {}, {});
   return false;
 }
 
-// Writes as much as goes. False: the rest must wait until the socket takes more.
-// The end of a write is held back for a moment: as long as it is, the write can't have run. Guards against
-// connections that are reset when new, when idle or while a request comes, where nobody could say whether a
-// write had run, and so it could not be sent again. Costs a write that moment.
-bool UpstreamNode::write_out(const ConnectionPointer& link) {
-  while (!link->out.empty()) {
-    if (link->out_sent == 0 && !prepare_first(link)) continue;
-    UpstreamMessage& piece = link->out.front();
-    const std::size_t first = piece.bytes.size() - piece.held;
-    const bool whole = link->out_sent >= first;
-    if (whole && piece.held > 0) {
+// Writes as much as the socket accepts. False: the rest must wait until the socket is writable.
+// The last bytes of a write are held back for final_write_delay: until they are sent, the write cannot have
+// run. Guards against connections that are reset when new, when idle or while a request arrives: it would be
+// unknown whether the write has run, so it could not be retried. The cost is this delay on each write.
+bool UpstreamNode::write_pending(const ConnectionPointer& connection) {
+  while (!connection->outgoing.empty()) {
+    if (connection->first_message_bytes_written == 0 && !encode_first(connection)) continue;
+    UpstreamMessage& message = connection->outgoing.front();
+    const std::size_t immediate_size = message.bytes.size() - message.held_back;
+    const bool immediate_written = connection->first_message_bytes_written >= immediate_size;
+    if (immediate_written && message.held_back > 0) {
       const Seconds now = Scheduler::now();
-      if (piece.whole_at == 0) {
-        piece.whole_at = now + limits_.final_write_delay;
-        scheduler_.at(piece.whole_at, [self = shared_from_this(), link] { self->pump(link); });
+      if (message.release_at == 0) {
+        message.release_at = now + limits_.final_write_delay;
+        scheduler_.at(message.release_at,
+                      [self = shared_from_this(), connection] { self->start_writing(connection); });
       }
-      if (now < piece.whole_at) return true;
+      if (now < message.release_at) return true;
     }
     const std::string_view bytes =
-        std::string_view(piece.bytes).substr(0, whole ? piece.bytes.size() : first);
-    const Io io = link->socket.write_now(bytes.substr(link->out_sent));
-    wrote(*link, io.bytes);
+        std::string_view(message.bytes).substr(0, immediate_written ? message.bytes.size() : immediate_size);
+    const Io io = connection->socket.write_now(bytes.substr(connection->first_message_bytes_written));
+    count_written(*connection, io.bytes);
     if (io.end == IoEnd::kTimedOut) return false;
-    if (!io.ok()) {  // the reading side ends the connection, after what the node still had to say
-      write_again_later(link);
+    if (!io.ok()) {  // the read loop closes the connection, after reading what the node still sent
+      schedule_write_retry(connection);
       return true;
     }
   }
   return true;
 }
 
-// Guards against a write that fails for want of memory on our own side: the connection stands, and nothing
-// else would tell when to write again. Costs a vain try where the reading side has not yet seen the end.
-void UpstreamNode::write_again_later(const ConnectionPointer& link) {
-  if (std::exchange(link->writes_again, true)) return;
-  scheduler_.at(Scheduler::now() + kWriteAgain, [self = shared_from_this(), link] {
-    link->writes_again = false;
-    self->pump(link);
+// Guards against a write that fails for lack of memory on our own side: the connection stays up, and no event
+// would say when to write again. The cost: a futile try where the read loop has not yet seen that the
+// connection has ended.
+void UpstreamNode::schedule_write_retry(const ConnectionPointer& connection) {
+  if (std::exchange(connection->write_retry_scheduled, true)) return;
+  scheduler_.at(Scheduler::now() + kWriteRetryDelay, [self = shared_from_this(), connection] {
+    connection->write_retry_scheduled = false;
+    self->start_writing(connection);
   });
 }
 
-void UpstreamNode::pump(const ConnectionPointer& link) {
-  if (link->state != UpstreamConnection::State::kUp || link->draining || write_out(link)) return;
-  link->draining = true;
-  scheduler_.spawn(drain(shared_from_this(), link));
+void UpstreamNode::start_writing(const ConnectionPointer& connection) {
+  if (connection->state != UpstreamConnection::State::kUp || connection->awaiting_writable ||
+      write_pending(connection))
+    return;
+  connection->awaiting_writable = true;
+  scheduler_.spawn(write_when_ready(shared_from_this(), connection));
 }
 
-// Tries before it waits, each time: room that came in between is not told again.
-Task<> UpstreamNode::drain(std::shared_ptr<UpstreamNode> self, ConnectionPointer link) {
+// Tries to write before each wait: space that was freed in between is not reported again.
+Task<> UpstreamNode::write_when_ready(std::shared_ptr<UpstreamNode> self, ConnectionPointer connection) {
   try {
-    while (link->state == UpstreamConnection::State::kUp && !self->write_out(link)) {
-      const transport::Wake wake = co_await link->socket.writable(kNever);
+    while (connection->state == UpstreamConnection::State::kUp && !self->write_pending(connection)) {
+      const transport::Wake wake = co_await connection->socket.writable(kNever);
       if (wake != transport::Wake::kReady) break;
     }
-  } catch (...) {  // no memory for what is to be written, say: nothing else would write it later
-    self->drop(link);
+  } catch (...) {  // for example no memory for the bytes: nothing else would write them later
+    self->close_connection(connection);
     throw;
   }
-  link->draining = false;
+  connection->awaiting_writable = false;
 }
 
-Task<> UpstreamNode::run(std::shared_ptr<UpstreamNode> self, ConnectionPointer link) {
+Task<> UpstreamNode::run_connection(std::shared_ptr<UpstreamNode> self, ConnectionPointer connection) {
   try {
-    co_await self->follow(link);
-  } catch (...) {  // no memory for what came in, say: the connection goes, and the loop tells of it
-    self->drop(link);
+    co_await self->connect_and_read(connection);
+  } catch (...) {  // for example no memory for what was read: the connection is closed, and the scheduler
+                   // reports the exception
+    self->close_connection(connection);
     throw;
   }
-  self->drop(link);
+  self->close_connection(connection);
 }
 
-Task<> UpstreamNode::follow(ConnectionPointer link) {
+Task<> UpstreamNode::connect_and_read(ConnectionPointer connection) {
   const Seconds until = Scheduler::now() + limits_.connect_timeout;
   transport::Connected connected = co_await transport::connect(scheduler_, address_, until);
   if (connected.end != transport::ConnectEnd::kUp) {
     ++counters_.links_failed;
-    const bool ours = connected.end == transport::ConnectEnd::kLocalFailure;
+    const bool local_failure = connected.end == transport::ConnectEnd::kLocalFailure;
     const bool reset = connected.end == transport::ConnectEnd::kReset;
-    link->state = UpstreamConnection::State::kClosed;
-    forget(link);
-    if (ours) move_to_links_that_are_up(link);
-    end_all(link, Result::kBroken, ours ? Result::kLocalFailure : Result::kUnreachable, reset);
+    connection->state = UpstreamConnection::State::kClosed;
+    remove_connection(connection);
+    if (local_failure) move_to_connected(connection);
+    end_attempts(connection, Result::kBroken, local_failure ? Result::kLocalFailure : Result::kUnreachable,
+                 reset);
     co_return;
   }
   ++counters_.links_opened;
-  link->socket = std::move(connected.socket);
+  connection->socket = std::move(connected.socket);
   if (flows_) {
-    auto tap = flows_->node(link->socket.descriptor(), part_, node_.value);
-    link->tap = tap.get();
-    link->socket.observe(std::move(tap));
+    auto flow_observer = flows_->node(connection->socket.descriptor(), role_, node_.value);
+    connection->flow_observer = flow_observer.get();
+    connection->socket.observe(std::move(flow_observer));
   }
-  link->state = UpstreamConnection::State::kUp;
-  link->heard_at = Scheduler::now();
-  pump(link);
-  settle(link);
-  while (link->state == UpstreamConnection::State::kUp) {
-    const std::size_t room = std::max(limits_.read_size, link->parser.wanted());
-    // Guards against an answer that stops short: nothing behind it on this connection can be read any more.
-    const bool amid = link->in.size() > 0;
-    const Io io = co_await link->socket.read(link->in, room,
-                                             amid ? link->heard_at + limits_.answer_stall_timeout : kNever);
+  connection->state = UpstreamConnection::State::kUp;
+  connection->last_read_at = Scheduler::now();
+  start_writing(connection);
+  handle_idle(connection);
+  while (connection->state == UpstreamConnection::State::kUp) {
+    const std::size_t read_room = std::max(limits_.read_size, connection->parser.wanted());
+    // Guards against an answer that stops halfway: nothing after it on this connection could be read any
+    // more.
+    const bool mid_answer = connection->read_buffer.size() > 0;
+    const Io io = co_await connection->socket.read(
+        connection->read_buffer, read_room,
+        mid_answer ? connection->last_read_at + limits_.answer_stall_timeout : kNever);
     if (io.end == IoEnd::kTimedOut) ++counters_.links_stalled;
     if (!io.ok()) break;
-    link->heard_at = Scheduler::now();
-    link->suspect = false;
-    std::size_t used = 0;
-    const bool readable = link->parser.feed(link->in.view(), used, *link);
-    link->in.consume(used);
-    if (readable) continue;
+    connection->last_read_at = Scheduler::now();
+    connection->suspect = false;
+    std::size_t consumed = 0;
+    const bool parsed = connection->parser.feed(connection->read_buffer.view(), consumed, *connection);
+    connection->read_buffer.consume(consumed);
+    if (parsed) continue;
     ++counters_.bad_answers;
     break;
   }
--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -40,17 +40,17 @@
 };
 
 // Allocations of sizes from least to most bytes fail as long as such a window stands.
-std::size_t failing_least = 1, failing_most = 0;
+std::size_t failing_min_size = 1, failing_max_size = 0;
 
 class FailingAllocations {
  public:
-  FailingAllocations(std::size_t least, std::size_t most) {
-    failing_least = least;
-    failing_most = most;
+  FailingAllocations(std::size_t min_size, std::size_t max_size) {
+    failing_min_size = min_size;
+    failing_max_size = max_size;
   }
   ~FailingAllocations() {
-    failing_least = 1;
-    failing_most = 0;
+    failing_min_size = 1;
+    failing_max_size = 0;
   }
   FailingAllocations(const FailingAllocations&) = delete;
   FailingAllocations& operator=(const FailingAllocations&) = delete;
@@ -69,7 +69,7 @@
 }
 
 [[gnu::noinline]] void* operator new(std::size_t size) {
-  if (size >= failing_least && size <= failing_most) throw std::bad_alloc();
+  if (size >= failing_min_size && size <= failing_max_size) throw std::bad_alloc();
   void* const memory = std::malloc(std::max<std::size_t>(size, 1));
   if (!memory) throw std::bad_alloc();
   return memory;
@@ -105,8 +105,8 @@
 class PlainClient {
  public:
   explicit PlainClient(transport::Address to) : descriptor_(::socket(to.family(), SOCK_STREAM, 0)) {
-    const int room = 4 << 20;
-    setsockopt(descriptor_, SOL_SOCKET, SO_SNDBUF, &room, sizeof room);
+    const int send_buffer_bytes = 4 << 20;
+    setsockopt(descriptor_, SOL_SOCKET, SO_SNDBUF, &send_buffer_bytes, sizeof send_buffer_bytes);
     REQUIRE(::connect(descriptor_, to.raw(), to.size()) == 0);
   }
   ~PlainClient() { close(); }
@@ -126,11 +126,11 @@
     close();
   }
   // Takes what has come.
-  const std::string& heard() {
-    std::array<char, 1 << 16> room;
+  const std::string& received() {
+    std::array<char, 1 << 16> scratch;
     for (;;) {
-      const ssize_t count = ::recv(descriptor_, room.data(), room.size(), MSG_DONTWAIT);
-      if (count > 0) heard_.append(room.data(), static_cast<std::size_t>(count));
+      const ssize_t count = ::recv(descriptor_, scratch.data(), scratch.size(), MSG_DONTWAIT);
+      if (count > 0) received_.append(scratch.data(), static_cast<std::size_t>(count));
       if (count == 0) ended_ = true;
       if (count < 0 && errno != EAGAIN) was_reset_ = true;
       if (count > 0) continue;
@@ -138,95 +138,97 @@
       socklen_t size = sizeof error;
       getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &error, &size);
       was_reset_ = was_reset_ || error != 0;
-      return heard_;
+      return received_;
     }
   }
   bool ended() {
-    heard();
+    received();
     return ended_;
   }
   bool was_reset() {
-    heard();
+    received();
     return was_reset_;
   }
 
  private:
   int descriptor_;
-  std::string heard_;
+  std::string received_;
   bool ended_ = false, was_reset_ = false;
 };
 
 enum class ClientEnd { kClose, kReset, kFinish };
 const ClientEnd kClientEnds[] = {ClientEnd::kClose, ClientEnd::kReset, ClientEnd::kFinish};
 
-void end_client(PlainClient& client, ClientEnd how) {
-  if (how == ClientEnd::kClose) client.close();
-  if (how == ClientEnd::kReset) client.reset();
-  if (how == ClientEnd::kFinish) client.finish();
+void end_client(PlainClient& client, ClientEnd client_end) {
+  if (client_end == ClientEnd::kClose) client.close();
+  if (client_end == ClientEnd::kReset) client.reset();
+  if (client_end == ClientEnd::kFinish) client.finish();
 }
 
 // A director between clients and a cache c1, a parent P1 and the origin O, each a stand-in.
 class TestDirector {
  public:
-  explicit TestDirector(const std::function<void(Limits&)>& change = {}) {
-    const auto nothing = *protocol::Json::parse("{}");
-    limits = program::fill_limits(nothing, nothing);
+  explicit TestDirector(const std::function<void(Limits&)>& adjust_limits = {}) {
+    const auto empty_configuration = *protocol::Json::parse("{}");
+    limits = program::fill_limits(empty_configuration, empty_configuration);
     limits.client_idle_timeout = 15;
     limits.request_read_timeout = 15;
     limits.suspect_timeout = 15;
     limits.answer_stall_timeout = 15;
     limits.final_write_delay = 0;
-    if (change) change(limits);
+    if (adjust_limits) adjust_limits(limits);
     Settings settings = DirectorFixture::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
     const ConfiguredNames names{
         {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
-    module.emplace(scheduler, limits, counters, log, names, settings, 7);
-    module->start();
+    actor.emplace(scheduler, limits, counters, log, names, settings, 7);
+    actor->start();
     list_nodes(cache.address);
-    front.emplace(scheduler, limits, counters, *transport::Address::parse("127.0.0.1:0"), names, *module);
-    front->start();
-    scheduler.on_late = [this](Seconds until) { module->woke_late(until); };
+    listener.emplace(scheduler, limits, counters, *transport::Address::parse("127.0.0.1:0"), names, *actor);
+    listener->start();
+    scheduler.on_late = [this](Seconds until) { actor->woke_late(until); };
     scheduler.on_failure = [this](std::exception_ptr) { ++failures; };
   }
-  ~TestDirector() { std::fclose(sink); }
+  ~TestDirector() { std::fclose(log_file); }
   void list_nodes(transport::Address cache_address) {
-    const auto entry = [](const std::string& id, transport::Address at, const std::string& zone,
+    const auto entry = [](const std::string& id, transport::Address node_address, const std::string& zone,
                           const std::string& kind) {
-      return R"({"id":")" + id + R"(","addr":")" + at.text() + R"(","zone":")" + zone + R"(","kind":")" +
-             kind + R"(","cell":1,"state":"active","weight":6,"started_ms":0})";
+      return R"({"id":")" + id + R"(","addr":")" + node_address.text() + R"(","zone":")" + zone +
+             R"(","kind":")" + kind + R"(","cell":1,"state":"active","weight":6,"started_ms":0})";
     };
-    module->known_change_arrived(*protocol::Json::parse(R"({"seq":5,"fleet":{"full":true,"servers":[)" +
-                                                        entry("c1", cache_address, "z2", "cache") + "," +
-                                                        entry("P1", parent.address, "z0", "parent") + "," +
-                                                        entry("O", origin.address, "z1", "origin") + "]}}"));
+    actor->known_change_arrived(*protocol::Json::parse(R"({"seq":5,"fleet":{"full":true,"servers":[)" +
+                                                       entry("c1", cache_address, "z2", "cache") + "," +
+                                                       entry("P1", parent.address, "z0", "parent") + "," +
+                                                       entry("O", origin.address, "z1", "origin") + "]}}"));
   }
-  void until(const std::function<bool()>& holds) { CHECK(run_until(scheduler, holds)); }
+  void wait_until(const std::function<bool()>& condition) { CHECK(run_until(scheduler, condition)); }
   // How many attempts the nodes have heard for requests whose id begins so.
-  std::size_t attempts_heard(const std::string& id = "") const {
+  std::size_t attempts_received(const std::string& id = "") const {
     std::size_t count = 0;
-    const std::string mark = "serve " + id;
+    const std::string command = "serve " + id;
     for (const StandInServer* node : {&cache, &parent, &origin})
-      for (const auto& end : node->connections)
-        for (auto at = end->heard.find(mark); at != std::string::npos; at = end->heard.find(mark, at + 1))
+      for (const auto& connection : node->connections)
+        for (auto at = connection->heard.find(command); at != std::string::npos;
+             at = connection->heard.find(command, at + 1))
           ++count;
     return count;
   }
-  void until_attempts(const std::string& id, std::size_t count) {
-    CHECK_MESSAGE(run_until(scheduler, [&] { return attempts_heard(id) >= count; }), id);
+  void wait_for_attempts(const std::string& id, std::size_t count) {
+    CHECK_MESSAGE(run_until(scheduler, [&] { return attempts_received(id) >= count; }), id);
   }
   // Ends the connection of the only client so far; its attempts until now are those that may be heard of.
-  void end(PlainClient& client, ClientEnd how) {
+  void end_connection(PlainClient& client, ClientEnd client_end) {
     attempts_at_end = counters.attempts;
-    end_client(client, how);
+    end_client(client, client_end);
   }
   // The client is known to have gone, and what was posted then has been done; or a further attempt began.
-  void until_gone() {
-    until(
-        [&] { return (front->clients() == 0 && counters.left == 1) || counters.attempts > attempts_at_end; });
+  void wait_for_disconnect() {
+    wait_until([&] {
+      return (listener->clients() == 0 && counters.left == 1) || counters.attempts > attempts_at_end;
+    });
   }
   // The only request has been called off, and nothing more began.
-  void check_called_off() const {
+  void check_cancelled() const {
     CHECK(counters.attempts == attempts_at_end);
     CHECK(counters.taken == 1);
     CHECK(counters.left == 1);
@@ -235,8 +237,8 @@
   // Each node that holds an attempt at the request answers it so.
   void nodes_answer(const std::string& id, const std::string& answer) {
     for (StandInServer* node : {&cache, &parent, &origin})
-      for (const auto& end : node->connections)
-        if (end->has_received("serve " + id)) end->try_send(id + " " + answer + "\r\n");
+      for (const auto& connection : node->connections)
+        if (connection->has_received("serve " + id)) connection->try_send(id + " " + answer + "\r\n");
   }
 
   Scheduler scheduler;
@@ -244,11 +246,11 @@
   Counters counters;
   std::uint64_t attempts_at_end = 0;
   int failures = 0;
-  std::FILE* sink = std::tmpfile();
-  Log log{fileno(sink)};
+  std::FILE* log_file = std::tmpfile();
+  Log log{fileno(log_file)};
   StandInServer cache{scheduler}, parent{scheduler}, origin{scheduler};
-  std::optional<DirectorActor> module;
-  std::optional<ClientListener> front;
+  std::optional<DirectorActor> actor;
+  std::optional<ClientListener> listener;
 };
 
 // What a client pipelines behind the request in work, so that its end can't be read while that is open.
@@ -258,144 +260,144 @@
 
 TEST_CASE("a client that has gone: no attempt begins after its close, whatever it sent before") {
   for (const std::size_t kilobytes : kPipelinedKb) {
-    for (const ClientEnd how : kClientEnds) {
+    for (const ClientEnd client_end : kClientEnds) {
       CAPTURE(kilobytes);
-      CAPTURE(static_cast<int>(how));
+      CAPTURE(static_cast<int>(client_end));
       TestDirector director;
-      PlainClient client(director.front->address());
+      PlainClient client(director.listener->address());
       client.send(get(kId1));
-      director.until_attempts(kId1, 1);
+      director.wait_for_attempts(kId1, 1);
       client.send(pipelined(kilobytes << 10));
-      director.end(client, how);
+      director.end_connection(client, client_end);
       // The failure reaches the director after the close, and would be followed by a retry.
       director.nodes_answer(kId1, kAbsent);
-      director.until_gone();
-      director.check_called_off();
+      director.wait_for_disconnect();
+      director.check_cancelled();
     }
   }
 }
 
 TEST_CASE("a client that has gone while its attempt waits for a connection") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
     // The only place in the queue is taken, so that no further connection comes up.
     transport::Listener full(director.scheduler, *transport::Address::parse("127.0.0.1:0"), 0);
     const auto first = dial(director.scheduler, full.address());
     director.list_nodes(full.address());
-    PlainClient client(director.front->address()), other(director.front->address());
+    PlainClient client(director.listener->address()), other(director.listener->address());
     client.send(get(kId1));
-    director.until([&] { return director.counters.attempts == 1; });
+    director.wait_until([&] { return director.counters.attempts == 1; });
     client.send(pipelined(40 << 10));
-    director.end(client, how);
+    director.end_connection(client, client_end);
     other.send(get(kId2));
-    director.until_attempts(kId2, 1);  // on another node, once the connection has failed
-    CHECK(director.attempts_heard(kId1) == director.attempts_at_end - 1);
+    director.wait_for_attempts(kId2, 1);  // on another node, once the connection has failed
+    CHECK(director.attempts_received(kId1) == director.attempts_at_end - 1);
     CHECK(director.counters.left == 1);
   }
 }
 
 TEST_CASE("a client that has gone before its attempt counts as late: no second one begins") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
-    PlainClient client(director.front->address()), other(director.front->address());
+    PlainClient client(director.listener->address()), other(director.listener->address());
     client.send(get(kId1));
-    director.until_attempts(kId1, 1);
+    director.wait_for_attempts(kId1, 1);
     client.send(pipelined(40 << 10));
-    director.end(client, how);
+    director.end_connection(client, client_end);
     other.send(get(kId2));
-    director.until_attempts(kId2, 2);  // of the same class, and begun later
-    CHECK(director.attempts_heard(kId1) == director.attempts_at_end);
+    director.wait_for_attempts(kId2, 2);  // of the same class, and begun later
+    CHECK(director.attempts_received(kId1) == director.attempts_at_end);
     CHECK(director.counters.left == 1);
   }
 }
 
 TEST_CASE("a client that has gone in the pause between two attempts") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
-    PlainClient client(director.front->address()), other(director.front->address());
+    PlainClient client(director.listener->address()), other(director.listener->address());
     client.send(put(kId1));
     other.send(put(kId2));
-    director.until_attempts(kId1, 1);
-    director.until_attempts(kId2, 1);
+    director.wait_for_attempts(kId1, 1);
+    director.wait_for_attempts(kId2, 1);
     director.nodes_answer(kId1, "AGAIN - 0\r\n");
-    director.until([&] { return director.counters.ended_turned_away == 1; });
+    director.wait_until([&] { return director.counters.ended_turned_away == 1; });
     client.send(pipelined(40 << 10));
-    director.end(client, how);
-    director.until(
+    director.end_connection(client, client_end);
+    director.wait_until(
         [&] { return director.counters.left == 1 || director.counters.attempts > director.attempts_at_end; });
     director.nodes_answer(kId2, "AGAIN - 0\r\n");
-    director.until_attempts(kId2, 2);
-    CHECK(director.attempts_heard(kId1) == director.attempts_at_end - 1);
+    director.wait_for_attempts(kId2, 2);
+    CHECK(director.attempts_received(kId1) == director.attempts_at_end - 1);
   }
 }
 
 TEST_CASE("a client that went while the process stood still: what came meanwhile begins no attempt") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
-    PlainClient client(director.front->address());
+    PlainClient client(director.listener->address());
     client.send(get(kId1));
-    director.until_attempts(kId1, 1);
+    director.wait_for_attempts(kId1, 1);
     client.send(pipelined(40 << 10));
     bool has_ended = false;
     director.scheduler.at(Scheduler::now(), [&] {
       has_ended = true;
       director.nodes_answer(kId1, kAbsent);
-      director.end(client, how);
+      director.end_connection(client, client_end);
       usleep(400000);  // as if the process were stopped, for longer than a turn counts as late
     });
-    director.until([&] { return has_ended; });
-    director.until_gone();
+    director.wait_until([&] { return has_ended; });
+    director.wait_for_disconnect();
     CHECK(director.counters.late_turns > 0);
-    director.check_called_off();
+    director.check_cancelled();
   }
 }
 
 TEST_CASE("a request read after its client has closed is not started") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director([](Limits& limits) { limits.max_clients = 1; });
-    PlainClient first(director.front->address()), second(director.front->address());
+    PlainClient first(director.listener->address()), second(director.listener->address());
     first.send(get(kId1));
-    director.until_attempts(kId1, 1);
+    director.wait_for_attempts(kId1, 1);
     second.send(get(kId2));  // waits for room, already accepted
-    director.until([&] { return director.counters.accept_paused > 0; });
-    end_client(second, how);
+    director.wait_until([&] { return director.counters.accept_paused > 0; });
+    end_client(second, client_end);
     director.nodes_answer(kId1, "ACK - 0\r\n");
-    director.until([&] { return director.counters.completed == 1; });
+    director.wait_until([&] { return director.counters.completed == 1; });
     first.close();
-    director.until([&] { return director.counters.clients_closed == 2; });
-    CHECK(director.attempts_heard(kId2) == 0);
+    director.wait_until([&] { return director.counters.clients_closed == 2; });
+    CHECK(director.attempts_received(kId2) == 0);
     CHECK(director.counters.taken == 1);
   }
 }
 
 TEST_CASE("a client that goes while its attempt's failure waits for the module: the retry is not sent") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
-    PlainClient client(director.front->address()), other(director.front->address());
+    PlainClient client(director.listener->address()), other(director.listener->address());
     // The same way for another request before: the connection for the retry is up, and idle.
     other.send(get(kId2));
-    director.until_attempts(kId2, 1);
+    director.wait_for_attempts(kId2, 1);
     director.nodes_answer(kId2, kAbsent);
-    director.until_attempts(kId2, 2);
+    director.wait_for_attempts(kId2, 2);
     director.nodes_answer(kId2, "ACK - 0\r\n");
-    director.until([&] { return director.counters.completed == 1; });
+    director.wait_until([&] { return director.counters.completed == 1; });
     client.send(get(kId1));
-    director.until_attempts(kId1, 1);
-    director.module->woke_late(Scheduler::now() + 0.3);  // holds what comes from now on
+    director.wait_for_attempts(kId1, 1);
+    director.actor->woke_late(Scheduler::now() + 0.3);  // holds what comes from now on
     director.nodes_answer(kId1, "NOENT why=absent 3\r\nabc");
-    director.until([&] { return director.counters.bytes_filled > 0; });
-    const std::size_t heard_before = director.attempts_heard(kId1);
-    director.end(client, how);
-    director.until([&] { return director.counters.left == 1; });
+    director.wait_until([&] { return director.counters.bytes_filled > 0; });
+    const std::size_t attempts_before = director.attempts_received(kId1);
+    director.end_connection(client, client_end);
+    director.wait_until([&] { return director.counters.left == 1; });
     other.send(get(kId3));
-    director.until_attempts(kId3, 1);
-    CHECK(director.attempts_heard(kId1) == heard_before);
+    director.wait_for_attempts(kId3, 1);
+    CHECK(director.attempts_received(kId1) == attempts_before);
   }
 }
 
@@ -405,8 +407,8 @@
 
 // The client got this status and then the end of the connection, and was not reset.
 void check_answered_and_ended(TestDirector& director, PlainClient& client, const std::string& status) {
-  director.until([&] { return client.ended() || client.was_reset(); });
-  CHECK(client.heard().starts_with("HTTP/1.1 " + status));
+  director.wait_until([&] { return client.ended() || client.was_reset(); });
+  CHECK(client.received().starts_with("HTTP/1.1 " + status));
   CHECK_FALSE(client.was_reset());
 }
 
@@ -416,7 +418,7 @@
   struct Path {
     const char* name;
     const char* status;
-    std::function<void(Limits&)> change;
+    std::function<void(Limits&)> adjust_limits;
     std::function<void(TestDirector&)> close;
   };
   std::optional<PlainClient> other;
@@ -427,17 +429,18 @@
          limits.max_clients = 1;
          limits.first_request_grace = 0;
        },
-       [&](TestDirector& director) { other.emplace(director.front->address()); }},
-      {"the end of a drain", "503", [](Limits&) {}, [](TestDirector& director) { director.front->close(); }},
+       [&](TestDirector& director) { other.emplace(director.listener->address()); }},
+      {"the end of a drain", "503", [](Limits&) {},
+       [](TestDirector& director) { director.listener->close(); }},
   };
   for (const Path& path : kPaths) {
     CAPTURE(path.name);
-    TestDirector director(path.change);
-    PlainClient client(director.front->address());
+    TestDirector director(path.adjust_limits);
+    PlainClient client(director.listener->address());
     client.send("GET /_health HTTP/1.1\r\n");
-    director.until([&] { return director.front->clients() == 1; });
+    director.wait_until([&] { return director.listener->clients() == 1; });
     const Seconds read_by = Scheduler::now() + 0.01;
-    director.until([&] { return Scheduler::now() > read_by; });
+    director.wait_until([&] { return Scheduler::now() > read_by; });
     path.close(director);
     check_answered_and_ended(director, client, path.status);
     other.reset();
@@ -446,65 +449,65 @@
 
 TEST_CASE("a request that crosses the end of a drain, unread, is served; an idle connection just ends") {
   TestDirector director;
-  PlainClient asks(director.front->address()), idle(director.front->address());
-  director.until([&] { return director.front->clients() == 2; });
-  asks.send(get(kId1));
-  director.front->close();
-  director.until_attempts(kId1, 1);
+  PlainClient requesting(director.listener->address()), idle(director.listener->address());
+  director.wait_until([&] { return director.listener->clients() == 2; });
+  requesting.send(get(kId1));
+  director.listener->close();
+  director.wait_for_attempts(kId1, 1);
   director.nodes_answer(kId1, "ACK - 2\r\nok");
-  director.until([&] { return asks.heard().ends_with("ok"); });
-  director.front->close();
-  director.until([&] { return asks.ended() && idle.ended(); });
-  CHECK(idle.heard().empty());
+  director.wait_until([&] { return requesting.received().ends_with("ok"); });
+  director.listener->close();
+  director.wait_until([&] { return requesting.ended() && idle.ended(); });
+  CHECK(idle.received().empty());
   CHECK_FALSE(idle.was_reset());
 }
 
 TEST_CASE("the end of a drain does not reset an answer on its way to a client that still sends") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   client.send("nonsense\r\n\r\n");
-  director.until([&] { return director.counters.clients_bad == 1; });
+  director.wait_until([&] { return director.counters.clients_bad == 1; });
   client.send(std::string(100000, 'x'));
-  director.front->close();
+  director.listener->close();
   client.send(std::string(100000, 'x'));
   check_answered_and_ended(director, client, "400");
 }
 
 TEST_CASE("a request that crosses the idle time-out, unread, is served") {
-  bool crossed = false;
-  for (int tries = 0; tries < 20 && !crossed; ++tries) {
+  bool interleaved = false;
+  for (int tries = 0; tries < 20 && !interleaved; ++tries) {
     TestDirector director([](Limits& limits) { limits.client_idle_timeout = 0.2; });
-    PlainClient client(director.front->address());
+    PlainClient client(director.listener->address());
     client.send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
-    director.until([&] { return client.heard().ends_with("ok\n"); });
+    director.wait_until([&] { return client.received().ends_with("ok\n"); });
     const Seconds answered = Scheduler::now();
     // One turn goes past the time-out; in the next the request comes before it, after the sockets were heard.
     director.scheduler.at(answered + 0.1, [] { usleep(200000); });
     bool sent = false;
     director.scheduler.at(answered + 0.11, [&] {
-      crossed = !client.ended();
+      interleaved = !client.ended();
       client.send(get(kId1));
       sent = true;
     });
-    director.until([&] { return sent; });
-    if (!crossed) continue;  // a machine so busy that the time-out came before
-    director.until(
-        [&] { return director.attempts_heard(kId1) == 1 || client.ended() || client.was_reset(); });
-    CHECK(director.attempts_heard(kId1) == 1);
+    director.wait_until([&] { return sent; });
+    if (!interleaved) continue;  // a machine so busy that the time-out came before
+    director.wait_until(
+        [&] { return director.attempts_received(kId1) == 1 || client.ended() || client.was_reset(); });
+    CHECK(director.attempts_received(kId1) == 1);
   }
-  CHECK(crossed);
+  CHECK(interleaved);
 }
 
 TEST_CASE("no memory for a request that is read: it is rejected, and harmless to repeat") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   std::string request = put(kId1);
   request.replace(request.find("Content-Length: 2\r\n\r\nab"), std::string::npos,
                   "Content-Length: 40000\r\n\r\n" + std::string(40000, 'b'));
   client.send(request);
   {
-    const FailingAllocations fails(20000, 60000);
-    director.until([&] { return client.ended() || client.was_reset(); });
+    const FailingAllocations failing_allocations(20000, 60000);
+    director.wait_until([&] { return client.ended() || client.was_reset(); });
   }
   check_answered_and_ended(director, client, "503");
   CHECK(director.failures > 0);
@@ -513,44 +516,45 @@
 
 TEST_CASE("no memory to read ahead: the open request gets its answer, and the next ones are read after it") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   client.send(get(kId1));
-  director.until_attempts(kId1, 1);
+  director.wait_for_attempts(kId1, 1);
   {
     const std::string requests = pipelined(24 << 10);
-    const FailingAllocations fails(17000, 60000);
+    const FailingAllocations failing_allocations(17000, 60000);
     client.send(requests);
-    director.until([&] { return director.failures > 0; });
+    director.wait_until([&] { return director.failures > 0; });
     director.nodes_answer(kId1, "ACK - 3\r\none");
-    director.until([&] { return client.heard().ends_with("one") || client.ended() || client.was_reset(); });
+    director.wait_until(
+        [&] { return client.received().ends_with("one") || client.ended() || client.was_reset(); });
   }
-  CHECK(client.heard().ends_with("one"));
-  director.until_attempts("0000000000001000", 1);
+  CHECK(client.received().ends_with("one"));
+  director.wait_for_attempts("0000000000001000", 1);
 }
 
 TEST_CASE("no memory for an answer: a final answer that says so") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   client.send(get(kId1));
-  director.until_attempts(kId1, 1);
+  director.wait_for_attempts(kId1, 1);
   director.nodes_answer(kId1, "ACK - 40000\r\n" + std::string(40000, 'x'));
   // The node's bytes fit, head and bytes together do not.
-  const FailingAllocations fails(40040, 40060);
+  const FailingAllocations failing_allocations(40040, 40060);
   check_answered_and_ended(director, client, "500");
   CHECK(director.failures == 1);
 }
 
 TEST_CASE("no memory for a new client: it is closed unread, and the next one is served") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   {
-    const FailingAllocations fails(sizeof(ClientConnection), sizeof(ClientConnection) + 64);
-    director.until([&] { return director.failures > 0; });
+    const FailingAllocations failing_allocations(sizeof(ClientConnection), sizeof(ClientConnection) + 64);
+    director.wait_until([&] { return director.failures > 0; });
   }
-  director.until([&] { return client.ended() || client.was_reset(); });
-  PlainClient next(director.front->address());
+  director.wait_until([&] { return client.ended() || client.was_reset(); });
+  PlainClient next(director.listener->address());
   next.send(get(kId1));
-  director.until_attempts(kId1, 1);
+  director.wait_for_attempts(kId1, 1);
 }
 
 // --- accepts that fail ---
@@ -565,89 +569,91 @@
       limits.max_linger = 100;
       limits.accept_retry_delay = 100;
     });
-    PlainClient idle(director.front->address());
-    director.until([&] { return director.front->clients() == 1; });
-    const FailingAccepts fails(error == EMFILE ? 1 : 4, error);
-    PlainClient asks(director.front->address());
-    asks.send(get(kId1));
-    director.until_attempts(kId1, 1);
+    PlainClient idle(director.listener->address());
+    director.wait_until([&] { return director.listener->clients() == 1; });
+    const FailingAccepts failing_accepts(error == EMFILE ? 1 : 4, error);
+    PlainClient requesting(director.listener->address());
+    requesting.send(get(kId1));
+    director.wait_for_attempts(kId1, 1);
     CHECK(accepts_to_fail == 0);
     // A failure of the one connection that would have been taken says nothing of the next (Listener::accept).
     const bool of_one_connection = error == ENETDOWN || error == EPERM;
     const int pauses = of_one_connection ? 0 : accepts_failed;
     CHECK(director.counters.accept_paused == static_cast<std::uint64_t>(pauses));
     CHECK_FALSE(idle.ended());
-    CHECK(director.front->clients() == 2);
+    CHECK(director.listener->clients() == 2);
   }
 }
 
 TEST_CASE("accepts that go on failing: ever longer pauses, and few clients are closed") {
   constexpr std::size_t kIdle = 20;
-  constexpr int kMany = 1000000;
+  constexpr int kManyFailures = 1000000;
   for (const int error : {EMFILE, ENOBUFS}) {
     CAPTURE(error);
     TestDirector director([](Limits& limits) { limits.first_request_grace = 0; });
     std::list<PlainClient> idle;
-    while (idle.size() < kIdle) idle.emplace_back(director.front->address());
-    director.until([&] { return director.front->clients() == kIdle; });
-    const FailingAccepts fails(kMany, error);
-    PlainClient waits(director.front->address());
+    while (idle.size() < kIdle) idle.emplace_back(director.listener->address());
+    director.wait_until([&] { return director.listener->clients() == kIdle; });
+    const FailingAccepts failing_accepts(kManyFailures, error);
+    PlainClient waiting(director.listener->address());
     const Seconds start = Scheduler::now();
-    director.until([&] { return Scheduler::now() > start + 0.5; });
+    director.wait_until([&] { return Scheduler::now() > start + 0.5; });
     // 2 ms doubled: 8 pauses take 0.51 s, and the longest is 0.256 s; a turn without one follows a close.
     const double spent = Scheduler::now() - start;
     CHECK(accepts_failed <= 2 * (8 + spent / 0.25));
     const auto failed = static_cast<std::size_t>(accepts_failed);
-    CHECK(director.front->clients() >= kIdle - std::min(kIdle, failed / 2));
-    if (error != EMFILE) CHECK(director.front->clients() == kIdle);
+    CHECK(director.listener->clients() >= kIdle - std::min(kIdle, failed / 2));
+    if (error != EMFILE) CHECK(director.listener->clients() == kIdle);
   }
 }
 
 TEST_CASE("out of descriptors for longer: an idle client makes room, one amid an open request does not") {
   TestDirector director([](Limits& limits) { limits.first_request_grace = 0; });
-  PlainClient busy(director.front->address()), idle(director.front->address());
+  PlainClient busy(director.listener->address()), idle(director.listener->address());
   busy.send(get(kId1));
-  director.until_attempts(kId1, 1);
-  const FailingAccepts fails(6, EMFILE);
-  PlainClient asks(director.front->address());
-  asks.send(get(kId2));
-  director.until_attempts(kId2, 1);
+  director.wait_for_attempts(kId1, 1);
+  const FailingAccepts failing_accepts(6, EMFILE);
+  PlainClient requesting(director.listener->address());
+  requesting.send(get(kId2));
+  director.wait_for_attempts(kId2, 1);
   CHECK(idle.ended());
   CHECK_FALSE(busy.ended());
   director.nodes_answer(kId1, "ACK - 3\r\none");
-  director.until([&] { return busy.heard().ends_with("one"); });
+  director.wait_until([&] { return busy.received().ends_with("one"); });
 }
 
 TEST_CASE("a request that crosses the search for room, unread, is served") {
-  bool crossed = false;
-  for (int tries = 0; tries < 20 && !crossed; ++tries) {
+  bool interleaved = false;
+  for (int tries = 0; tries < 20 && !interleaved; ++tries) {
     TestDirector director([](Limits& limits) { limits.first_request_grace = 0; });
     std::list<PlainClient> clients;
     for (int i = 0; i < 3; ++i) {
-      clients.emplace_back(director.front->address());
+      clients.emplace_back(director.listener->address());
       clients.back().send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
-      director.until([&] { return clients.back().heard().ends_with("ok\n"); });
+      director.wait_until([&] { return clients.back().received().ends_with("ok\n"); });
     }
-    PlainClient& asks = clients.back();
+    PlainClient& requesting = clients.back();
     // The second failure closes the first client, the fourth the second one; the sixth comes 32 ms after the
     // fifth, and would close the third.
-    const FailingAccepts fails(6, EMFILE);
-    PlainClient other(director.front->address());
-    director.until([&] { return accepts_failed == 5; });
+    const FailingAccepts failing_accepts(6, EMFILE);
+    PlainClient other(director.listener->address());
+    director.wait_until([&] { return accepts_failed == 5; });
     const Seconds before = Scheduler::now();
     // One turn goes past the pause; in the next the request comes before its end, after the sockets were
     // heard.
     director.scheduler.at(before, [] { usleep(100000); });
     bool sent = false;
     director.scheduler.at(before + 0.001, [&] {
-      crossed = accepts_failed == 5 && !asks.ended();
-      asks.send(get(kId1));
+      interleaved = accepts_failed == 5 && !requesting.ended();
+      requesting.send(get(kId1));
       sent = true;
     });
-    director.until([&] { return sent; });
-    if (!crossed) continue;  // a machine so busy that the pause was over before
-    director.until([&] { return director.attempts_heard(kId1) == 1 || asks.ended() || asks.was_reset(); });
-    CHECK(director.attempts_heard(kId1) == 1);
+    director.wait_until([&] { return sent; });
+    if (!interleaved) continue;  // a machine so busy that the pause was over before
+    director.wait_until([&] {
+      return director.attempts_received(kId1) == 1 || requesting.ended() || requesting.was_reset();
+    });
+    CHECK(director.attempts_received(kId1) == 1);
   }
-  CHECK(crossed);
+  CHECK(interleaved);
 }
--- a/tests/routing/ends.hpp
+++ b/tests/routing/ends.hpp
@@ -11,38 +11,39 @@
 namespace hareramp::routing {
 
 // The actor of a node, and how its attempts end.
-class Ends : public Attempts {
+class UpstreamNodeFixture : public AttemptObserver {
  public:
-  Ends() {
+  UpstreamNodeFixture() {
     limits.retained_buffer = limits.read_size = 1 << 14;
     limits.max_answer_line = 200, limits.max_answer_body = 1 << 20;
     limits.max_node_connections = 10, limits.max_connections_per_node = 2,
     limits.max_attempts_per_connection = 5;
     limits.connect_timeout = limits.send_start_timeout = limits.node_idle_timeout = limits.suspect_timeout =
         limits.answer_stall_timeout = 15;
-    peer =
-        std::make_shared<UpstreamNode>(scheduler, limits, counters, links, NodeId{"c1"}, node.address, *this);
-    peer->start();
+    upstream_node = std::make_shared<UpstreamNode>(scheduler, limits, counters, connection_count,
+                                                   NodeId{"c1"}, server.address, *this);
+    upstream_node->start();
   }
   void attempt(const std::string& request, const std::string& body = "") {
     auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
     forwarded_request->lane = "segment", forwarded_request->name = request, forwarded_request->body = body;
-    peer->attempt({request}, {0}, forwarded_request, {.source = {"c1"}}, transport::Scheduler::now() + 15);
+    upstream_node->attempt({request}, {0}, forwarded_request, {.source = {"c1"}},
+                           transport::Scheduler::now() + 15);
   }
-  void ended(const RequestId&, AttemptNumber, const NodeId&, Result result, AnswerDetail, Seconds, LoadReport,
-             Content content) override {
+  void attempt_ended(const RequestId&, AttemptNumber, const NodeId&, Result result, AnswerDetail, Seconds,
+                     LoadReport, Content content) override {
     results.push_back(result);
     contents += content.bytes;
   }
   Seconds max_copy_age(const RequestId&) override { return 0; }
-  bool until(const std::function<bool()>& holds) { return run_until(scheduler, holds); }
+  bool wait_until(const std::function<bool()>& condition) { return run_until(scheduler, condition); }
 
   transport::Scheduler scheduler;
-  StandInServer node{scheduler};
+  StandInServer server{scheduler};
   Limits limits;
   Counters counters;
-  std::size_t links = 0;
-  std::shared_ptr<UpstreamNode> peer;
+  std::size_t connection_count = 0;
+  std::shared_ptr<UpstreamNode> upstream_node;
   std::vector<Result> results;
   std::string contents;
 };
--- a/tests/routing/io_failures_test.cpp
+++ b/tests/routing/io_failures_test.cpp
@@ -15,37 +15,39 @@
 namespace {
 
 // What happens on the connections to one node.
-struct Injected {
-  int port = 0;             // of the node; 0: nothing is injected
-  std::size_t writes = 0;   // so many more bytes can be written, then the socket is full
-  std::size_t at_once = 0;  // the most bytes that one call moves; 0: any number
-  bool interrupts = false;  // every other call is interrupted by a signal
-  bool interrupted = false;
+struct InjectedFaults {
+  int port = 0;                        // of the node; 0: nothing is injected
+  std::size_t writable_bytes = 0;      // so many more bytes can be written, then the socket is full
+  std::size_t max_bytes_per_call = 0;  // the most bytes that one call moves; 0: any number
+  bool interrupt_calls = false;        // every other call is interrupted by a signal
+  bool last_call_interrupted = false;
   int failing_writes = 0;  // so many fail for want of memory, first of all
   int read_error = 0;      // errno of the next read, after which nothing is injected any more
 };
-Injected injected;
-constexpr std::size_t kAnyNumber = 1 << 30;
+InjectedFaults injected_faults;
+constexpr std::size_t kUnlimited = 1 << 30;
 
 // Ends it with the test, however it ends.
-struct InjectedEnds {
-  ~InjectedEnds() { injected = Injected(); }
+struct FaultsReset {
+  ~FaultsReset() { injected_faults = InjectedFaults(); }
 };
 
 bool is_to_node(int descriptor) {
-  if (injected.port == 0) return false;
-  const auto peer = transport::Address::peer(descriptor);
-  return peer && peer->port() == injected.port;
+  if (injected_faults.port == 0) return false;
+  const auto remote = transport::Address::peer(descriptor);
+  return remote && remote->port() == injected_faults.port;
 }
 
 bool interrupted_now() {
-  injected.interrupted = injected.interrupts && !injected.interrupted;
-  if (injected.interrupted) errno = EINTR;
-  return injected.interrupted;
+  injected_faults.last_call_interrupted =
+      injected_faults.interrupt_calls && !injected_faults.last_call_interrupted;
+  if (injected_faults.last_call_interrupted) errno = EINTR;
+  return injected_faults.last_call_interrupted;
 }
 
-std::size_t moved_at_once(std::size_t wanted) {
-  return injected.at_once > 0 ? std::min(wanted, injected.at_once) : wanted;
+std::size_t limit_per_call(std::size_t wanted) {
+  return injected_faults.max_bytes_per_call > 0 ? std::min(wanted, injected_faults.max_bytes_per_call)
+                                                : wanted;
 }
 
 template <class Function>
@@ -55,104 +57,112 @@
 
 // An attempt's line as the node hears it on a connection that breaks after so many of its bytes, and how the
 // attempt ends: by the error when the director reads next.
-struct Cut {
-  Cut(std::size_t bytes, int error) {
-    injected = {.port = desk.node.address.port(), .writes = bytes};
-    desk.attempt("p1", "body");
-    CHECK(desk.until(
-        [&] { return desk.node.has_connections(1) && desk.node.connections[0]->heard.size() >= bytes; }));
-    injected.read_error = error;
-    desk.node.connections[0]->send("p");
-    CHECK(desk.until([&] { return injected.port == 0; }));
+struct BrokenConnection {
+  BrokenConnection(std::size_t bytes, int error) {
+    injected_faults = {.port = upstream.server.address.port(), .writable_bytes = bytes};
+    upstream.attempt("p1", "body");
+    CHECK(upstream.wait_until([&] {
+      return upstream.server.has_connections(1) && upstream.server.connections[0]->heard.size() >= bytes;
+    }));
+    injected_faults.read_error = error;
+    upstream.server.connections[0]->send("p");
+    CHECK(upstream.wait_until([&] { return injected_faults.port == 0; }));
   }
-  Ends desk;
+  UpstreamNodeFixture upstream;
 };
 
 }  // namespace
 
 extern "C" ssize_t send(int descriptor, const void* bytes, size_t size, int flags) {
-  const auto send_now = system_call<ssize_t(int, const void*, size_t, int)>("send");
-  if (!is_to_node(descriptor)) return send_now(descriptor, bytes, size, flags);
+  const auto real_send = system_call<ssize_t(int, const void*, size_t, int)>("send");
+  if (!is_to_node(descriptor)) return real_send(descriptor, bytes, size, flags);
   if (interrupted_now()) return -1;
-  if (injected.failing_writes > 0) {
-    --injected.failing_writes;
+  if (injected_faults.failing_writes > 0) {
+    --injected_faults.failing_writes;
     errno = ENOBUFS;
     return -1;
   }
-  const std::size_t some = std::min(moved_at_once(size), injected.writes);
-  if (some == 0) {
+  const std::size_t allowed = std::min(limit_per_call(size), injected_faults.writable_bytes);
+  if (allowed == 0) {
     errno = EAGAIN;
     return -1;
   }
-  const ssize_t sent = send_now(descriptor, bytes, some, flags);
-  if (sent > 0) injected.writes -= static_cast<std::size_t>(sent);
+  const ssize_t sent = real_send(descriptor, bytes, allowed, flags);
+  if (sent > 0) injected_faults.writable_bytes -= static_cast<std::size_t>(sent);
   return sent;
 }
 
 extern "C" ssize_t recv(int descriptor, void* bytes, size_t size, int flags) {
-  const auto receive_now = system_call<ssize_t(int, void*, size_t, int)>("recv");
-  if (!is_to_node(descriptor)) return receive_now(descriptor, bytes, size, flags);
+  const auto real_recv = system_call<ssize_t(int, void*, size_t, int)>("recv");
+  if (!is_to_node(descriptor)) return real_recv(descriptor, bytes, size, flags);
   if (interrupted_now()) return -1;
-  if (injected.read_error != 0) {  // the end of this connection; the next one is well
-    errno = injected.read_error;
-    injected = Injected();
+  if (injected_faults.read_error != 0) {  // the end of this connection; the next one is well
+    errno = injected_faults.read_error;
+    injected_faults = InjectedFaults();
     return -1;
   }
-  return receive_now(descriptor, bytes, moved_at_once(size), flags);
+  return real_recv(descriptor, bytes, limit_per_call(size), flags);
 }
 
 TEST_CASE("a connection that fails after any byte of an attempt: it may have run only if it went out whole") {
-  const InjectedEnds ends;
-  const std::size_t whole = std::string("serve p1 lane=segment,name=p1,ttl=14999 4\r\nbody\r\n").size();
+  const FaultsReset faults_reset;
+  const std::size_t command_size =
+      std::string("serve p1 lane=segment,name=p1,ttl=14999 4\r\nbody\r\n").size();
   for (const int error : {ETIMEDOUT, EHOSTUNREACH, ECONNRESET}) {
-    for (std::size_t bytes = 0; bytes <= whole; ++bytes) {
+    for (std::size_t bytes = 0; bytes <= command_size; ++bytes) {
       CAPTURE(error);
       CAPTURE(bytes);
-      Cut cut(bytes, error);
-      if (bytes < whole) {  // it goes on, whole, on another connection
-        CHECK(cut.desk.until([&] { return cut.desk.node.has_received("\r\nbody\r\n", 1); }));
-        CHECK(cut.desk.results.empty());
+      BrokenConnection broken(bytes, error);
+      if (bytes < command_size) {  // it goes on, whole, on another connection
+        CHECK(broken.upstream.wait_until(
+            [&] { return broken.upstream.server.has_received("\r\nbody\r\n", 1); }));
+        CHECK(broken.upstream.results.empty());
       } else {
-        CHECK(cut.desk.until([&] { return !cut.desk.results.empty(); }));
-        CHECK(cut.desk.results == std::vector{Result::kBroken});
-        CHECK(cut.desk.node.has_received("\r\nbody\r\n"));
+        CHECK(broken.upstream.wait_until([&] { return !broken.upstream.results.empty(); }));
+        CHECK(broken.upstream.results == std::vector{Result::kBroken});
+        CHECK(broken.upstream.server.has_received("\r\nbody\r\n"));
       }
     }
   }
 }
 
 TEST_CASE("a few bytes at a time, between signals: commands and answers come whole") {
-  const InjectedEnds ends;
-  for (const std::size_t at_once : {1, 2, 7}) {
-    CAPTURE(at_once);
-    Ends desk;
-    desk.limits.max_connections_per_node = 1;
-    desk.limits.final_write_delay = 0.001;
-    injected = {
-        .port = desk.node.address.port(), .writes = kAnyNumber, .at_once = at_once, .interrupts = true};
-    desk.attempt("p1", "body");
-    desk.attempt("p2");
-    CHECK(desk.until(
-        [&] { return desk.node.has_received("serve p2") && desk.node.has_received(" 0\r\n\r\n"); }));
-    CHECK(desk.node.heard() ==
+  const FaultsReset faults_reset;
+  for (const std::size_t max_bytes : {1, 2, 7}) {
+    CAPTURE(max_bytes);
+    UpstreamNodeFixture upstream;
+    upstream.limits.max_connections_per_node = 1;
+    upstream.limits.final_write_delay = 0.001;
+    injected_faults = {.port = upstream.server.address.port(),
+                       .writable_bytes = kUnlimited,
+                       .max_bytes_per_call = max_bytes,
+                       .interrupt_calls = true};
+    upstream.attempt("p1", "body");
+    upstream.attempt("p2");
+    CHECK(upstream.wait_until([&] {
+      return upstream.server.has_received("serve p2") && upstream.server.has_received(" 0\r\n\r\n");
+    }));
+    CHECK(upstream.server.heard() ==
           "serve p1 lane=segment,name=p1,ttl=N 4\nbody\nserve p2 lane=segment,name=p2,ttl=N 0\n\n");
-    desk.node.connections[0]->send("p2 ACK sum=t 2\r\nok\r\np1 NOENT why=absent 0\r\n\r\n");
-    CHECK(desk.until([&] { return desk.results.size() == 2; }));
-    CHECK(desk.results == std::vector{Result::kCompleted, Result::kAbsent});
-    CHECK(desk.contents == "ok");
-    injected = {};
+    upstream.server.connections[0]->send("p2 ACK sum=t 2\r\nok\r\np1 NOENT why=absent 0\r\n\r\n");
+    CHECK(upstream.wait_until([&] { return upstream.results.size() == 2; }));
+    CHECK(upstream.results == std::vector{Result::kCompleted, Result::kAbsent});
+    CHECK(upstream.contents == "ok");
+    injected_faults = {};
   }
 }
 
 TEST_CASE("a write that fails for want of memory is made again while the connection stands") {
-  const InjectedEnds ends;
-  Ends desk;
-  injected = {.port = desk.node.address.port(), .writes = kAnyNumber, .failing_writes = 3};
-  desk.attempt("p1", "body");
-  CHECK(desk.until([&] { return desk.node.has_received("\r\nbody\r\n") || !desk.results.empty(); }));
-  REQUIRE(desk.results.empty());
-  CHECK(injected.failing_writes == 0);
-  desk.node.connections[0]->send("p1 ACK - 0\r\n\r\n");
-  CHECK(desk.until([&] { return !desk.results.empty(); }));
-  CHECK(desk.results == std::vector{Result::kCompleted});
+  const FaultsReset faults_reset;
+  UpstreamNodeFixture upstream;
+  injected_faults = {
+      .port = upstream.server.address.port(), .writable_bytes = kUnlimited, .failing_writes = 3};
+  upstream.attempt("p1", "body");
+  CHECK(upstream.wait_until(
+      [&] { return upstream.server.has_received("\r\nbody\r\n") || !upstream.results.empty(); }));
+  REQUIRE(upstream.results.empty());
+  CHECK(injected_faults.failing_writes == 0);
+  upstream.server.connections[0]->send("p1 ACK - 0\r\n\r\n");
+  CHECK(upstream.wait_until([&] { return !upstream.results.empty(); }));
+  CHECK(upstream.results == std::vector{Result::kCompleted});
 }
--- a/tests/routing/local_failures_test.cpp
+++ b/tests/routing/local_failures_test.cpp
@@ -33,8 +33,8 @@
 }
 
 // Ends the failures with the test, however it ends.
-struct FailuresEnd {
-  ~FailuresEnd() { connect_failure = socket_failure = InjectedFailure(); }
+struct FailuresReset {
+  ~FailuresReset() { connect_failure = socket_failure = InjectedFailure(); }
 };
 
 template <class Function>
@@ -43,7 +43,7 @@
 }
 
 // Whoever asked for the requests of a site.
-class Client : public ResponseSink {
+class CountingSink : public ResponseSink {
  public:
   void completed(const RequestId&, Content) override { ++served; }
   void rejected(const RequestId&, Seconds) override { ++rejections; }
@@ -64,39 +64,40 @@
 }
 
 TEST_CASE("a connection that our own side can't ask for: the attempt ends as such, and the next goes out") {
-  const FailuresEnd failures_end;
+  const FailuresReset failures_reset;
   const std::vector<std::pair<InjectedFailure*, int>> failures = {
       {&connect_failure, EADDRNOTAVAIL}, {&connect_failure, ENETUNREACH}, {&connect_failure, ENOBUFS},
       {&socket_failure, EMFILE},         {&socket_failure, ENFILE},       {&socket_failure, ENOBUFS}};
   for (const auto& [failure, error] : failures) {
     CAPTURE(error);
-    Ends desk;
+    UpstreamNodeFixture upstream;
     *failure = {error, 1};
-    desk.attempt("p1");
-    CHECK(desk.until([&] { return desk.results.size() == 1; }));
-    CHECK(desk.links == 0);
-    desk.attempt("p1");
-    CHECK(desk.until([&] { return desk.node.has_received("serve p1"); }));
-    desk.node.connections.at(0)->send("p1 ACK - 0\r\n\r\n");
-    CHECK(desk.until([&] { return desk.results.size() == 2; }));
-    CHECK(desk.results == std::vector{Result::kLocalFailure, Result::kCompleted});
+    upstream.attempt("p1");
+    CHECK(upstream.wait_until([&] { return upstream.results.size() == 1; }));
+    CHECK(upstream.connection_count == 0);
+    upstream.attempt("p1");
+    CHECK(upstream.wait_until([&] { return upstream.server.has_received("serve p1"); }));
+    upstream.server.connections.at(0)->send("p1 ACK - 0\r\n\r\n");
+    CHECK(upstream.wait_until([&] { return upstream.results.size() == 2; }));
+    CHECK(upstream.results == std::vector{Result::kLocalFailure, Result::kCompleted});
   }
 }
 
 TEST_CASE("what waits for a connection that can't be asked for goes out on one that is up") {
-  const FailuresEnd failures_end;
-  Ends desk;
-  desk.attempt("p1");
-  CHECK(desk.until([&] { return desk.node.has_received("serve p1"); }));
+  const FailuresReset failures_reset;
+  UpstreamNodeFixture upstream;
+  upstream.attempt("p1");
+  CHECK(upstream.wait_until([&] { return upstream.server.has_received("serve p1"); }));
   connect_failure = {EADDRNOTAVAIL, 1};
-  desk.attempt("p2");
-  CHECK(desk.until([&] { return desk.node.has_received("serve p2") || !desk.results.empty(); }));
+  upstream.attempt("p2");
+  CHECK(upstream.wait_until(
+      [&] { return upstream.server.has_received("serve p2") || !upstream.results.empty(); }));
   CHECK(connect_failure.calls == 0);
-  CHECK(desk.links == 1);
-  REQUIRE(desk.results.empty());
-  desk.node.connections.at(0)->send("p2 ACK - 0\r\n\r\np1 ACK - 0\r\n\r\n");
-  CHECK(desk.until([&] { return desk.results.size() == 2; }));
-  CHECK(desk.results == std::vector{Result::kCompleted, Result::kCompleted});
+  CHECK(upstream.connection_count == 1);
+  REQUIRE(upstream.results.empty());
+  upstream.server.connections.at(0)->send("p2 ACK - 0\r\n\r\np1 ACK - 0\r\n\r\n");
+  CHECK(upstream.wait_until([&] { return upstream.results.size() == 2; }));
+  CHECK(upstream.results == std::vector{Result::kCompleted, Result::kCompleted});
 }
 
 TEST_CASE("failures of our own: tried again after pauses, at the same node, which is not to blame") {
@@ -121,20 +122,20 @@
 }
 
 TEST_CASE("a moment without local ports costs no request its answer") {
-  const FailuresEnd failures_end;
+  const FailuresReset failures_reset;
   Scheduler scheduler;
   StandInServer cache(scheduler), parent(scheduler), origin(scheduler);
-  const auto nothing = *protocol::Json::parse("{}");
-  Limits limits = program::fill_limits(nothing, nothing);
+  const auto empty_configuration = *protocol::Json::parse("{}");
+  Limits limits = program::fill_limits(empty_configuration, empty_configuration);
   limits.suspect_timeout = limits.answer_stall_timeout = limits.connect_timeout = limits.send_start_timeout =
       15;
   Counters counters;
-  std::FILE* sink = std::tmpfile();
-  Log log{fileno(sink)};
+  std::FILE* log_file = std::tmpfile();
+  Log log{fileno(log_file)};
   const ConfiguredNames names{
       {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
-  DirectorActor module(scheduler, limits, counters, log, names, DirectorFixture::usual_settings(), 7);
-  module.start();
+  DirectorActor actor(scheduler, limits, counters, log, names, DirectorFixture::usual_settings(), 7);
+  actor.start();
   const auto entry = [](const char* id, const StandInServer& node, const char* zone, const char* kind) {
     return R"({"id":")" + std::string(id) + R"(","addr":")" + node.address.text() + R"(","zone":")" + zone +
            R"(","kind":")" + kind + R"(","cell":1,"state":"active","weight":6,"started_ms":0})";
@@ -143,31 +144,31 @@
       R"({"seq":5,"fleet":{"full":true,"servers":[)" + entry("c1", cache, "z2", "cache") + "," +
       entry("P1", parent, "z0", "parent") + "," + entry("O", origin, "z1", "origin") + "]}}");
   bool listed = false;
-  module.changes_arrived({{0, list}}, false, [&](bool taken) { listed = taken; });
+  actor.changes_arrived({{0, list}}, false, [&](bool taken) { listed = taken; });
   REQUIRE(run_until(scheduler, [&] { return listed; }));
 
   // As many failures as the requests have attempts, all together.
-  const auto client = std::make_shared<Client>();
+  const auto response_sink = std::make_shared<CountingSink>();
   connect_failure = {EADDRNOTAVAIL,
                      2 * std::stoi(DirectorFixture::usual_settings().at("Permissions.MaxAttempts"))};
   for (const bool write : {false, true}) {  // the write is binding: one that was not sent may still be sent
     auto forwarded_request = std::make_shared<protocol::ForwardedRequest>();
     forwarded_request->lane = write ? "write" : "video", forwarded_request->name = "7f";
-    module.request_arrived({write ? "write" : "read"}, {write ? 2 : 0}, {7}, {0}, {1}, Scheduler::now() + 15,
-                           400, false, write, forwarded_request, client);
+    actor.request_arrived({write ? "write" : "read"}, {write ? 2 : 0}, {7}, {0}, {1}, Scheduler::now() + 15,
+                          400, false, write, forwarded_request, response_sink);
   }
   std::set<std::string> answered;
   const auto answer_all = [&] {
-    for (const auto& end : cache.connections) {
+    for (const auto& connection : cache.connections) {
       for (const std::string request : {"read", "write"}) {
-        if (!end->has_received("serve " + request + " ") || !answered.insert(request).second) continue;
-        end->send(request + " ACK why=mem 2\r\nok\r\n");
+        if (!connection->has_received("serve " + request + " ") || !answered.insert(request).second) continue;
+        connection->send(request + " ACK why=mem 2\r\nok\r\n");
       }
     }
-    return client->served + client->rejections + client->failures == 2;
+    return response_sink->served + response_sink->rejections + response_sink->failures == 2;
   };
   CHECK(run_until(scheduler, answer_all));
-  CHECK(client->served == 2);
+  CHECK(response_sink->served == 2);
   CHECK(connect_failure.calls == 0);
-  std::fclose(sink);
+  std::fclose(log_file);
 }
