--- a/tests/routing/client_connection_test.cpp
+++ b/tests/routing/client_connection_test.cpp
@@ -1,4 +1,4 @@
-// A client's connection through its ends: the client closes or resets it, or the director has to close it.
+// How a client's connection ends: the client closes or resets it, or the director has to close it.
 #include "routing/client_connection.hpp"
 
 #include <sys/socket.h>
@@ -24,7 +24,7 @@
 
 namespace {
 
-// So many of the next calls of accept4 fail with this error.
+// The next accepts_to_fail calls of accept4 fail with accept_error.
 int accepts_to_fail = 0, accept_error = 0, accepts_failed = 0;
 
 class FailingAccepts {
@@ -39,18 +39,18 @@
   FailingAccepts& operator=(const FailingAccepts&) = delete;
 };
 
-// Allocations of sizes from least to most bytes fail as long as such a window stands.
-std::size_t failing_least = 1, failing_most = 0;
+// While a FailingAllocations exists, allocations of min_size to max_size bytes fail.
+std::size_t failing_min_size = 1, failing_max_size = 0;
 
 class FailingAllocations {
  public:
-  FailingAllocations(std::size_t least, std::size_t most) {
-    failing_least = least;
-    failing_most = most;
+  FailingAllocations(std::size_t min_size, std::size_t max_size) {
+    failing_min_size = min_size;
+    failing_max_size = max_size;
   }
   ~FailingAllocations() {
-    failing_least = 1;
-    failing_most = 0;
+    failing_min_size = 1;
+    failing_max_size = 0;
   }
   FailingAllocations(const FailingAllocations&) = delete;
   FailingAllocations& operator=(const FailingAllocations&) = delete;
@@ -69,7 +69,7 @@
 }
 
 [[gnu::noinline]] void* operator new(std::size_t size) {
-  if (size >= failing_least && size <= failing_most) throw std::bad_alloc();
+  if (size >= failing_min_size && size <= failing_max_size) throw std::bad_alloc();
   void* const memory = std::malloc(std::max<std::size_t>(size, 1));
   if (!memory) throw std::bad_alloc();
   return memory;
@@ -82,7 +82,8 @@
 
 namespace {
 
-const std::string kAbsent = "NOENT why=absent 0\r\n";  // an answer after which another node is asked
+const std::string kAbsent =
+    "NOENT why=absent 0\r\n";  // an answer after which the director tries another node
 const std::string kId1 = "0000000000000001", kId2 = "0000000000000002", kId3 = "0000000000000003";
 
 std::string get(const std::string& id) {
@@ -93,7 +94,7 @@
   return "PUT /invoke/write/8/block-0 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: " + id +
          "\r\nX-Deadline-Ms: 15000\r\nContent-Length: 2\r\n\r\nab";
 }
-// Whole requests, each with an id of its own, of so many bytes together at least.
+// Complete requests with an id each, together at least this many bytes.
 std::string pipelined(std::size_t bytes) {
   std::string requests;
   for (int number = 1000; requests.size() < bytes; ++number)
@@ -101,12 +102,13 @@
   return requests;
 }
 
-// A client as a plain socket, so that a test decides on each call; the kernel takes what it sends at once.
+// A client with a plain socket, so that the test controls each call; its send buffer takes what it sends at
+// once.
 class PlainClient {
  public:
   explicit PlainClient(transport::Address to) : descriptor_(::socket(to.family(), SOCK_STREAM, 0)) {
-    const int room = 4 << 20;
-    setsockopt(descriptor_, SOL_SOCKET, SO_SNDBUF, &room, sizeof room);
+    const int send_buffer_bytes = 4 << 20;
+    setsockopt(descriptor_, SOL_SOCKET, SO_SNDBUF, &send_buffer_bytes, sizeof send_buffer_bytes);
     REQUIRE(::connect(descriptor_, to.raw(), to.size()) == 0);
   }
   ~PlainClient() { close(); }
@@ -125,20 +127,20 @@
     setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
     close();
   }
-  // Takes what has come.
+  // Reads what has arrived, and returns all that was received so far.
   const std::string& received() {
-    std::array<char, 1 << 16> room;
+    std::array<char, 1 << 16> scratch;
     for (;;) {
-      const ssize_t count = ::recv(descriptor_, room.data(), room.size(), MSG_DONTWAIT);
-      if (count > 0) heard_.append(room.data(), static_cast<std::size_t>(count));
+      const ssize_t count = ::recv(descriptor_, scratch.data(), scratch.size(), MSG_DONTWAIT);
+      if (count > 0) received_.append(scratch.data(), static_cast<std::size_t>(count));
       if (count == 0) ended_ = true;
       if (count < 0 && errno != EAGAIN) was_reset_ = true;
       if (count > 0) continue;
-      int error = 0;  // a reset that came after the end
+      int error = 0;  // a reset that arrived after the end of the stream
       socklen_t size = sizeof error;
       getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &error, &size);
       was_reset_ = was_reset_ || error != 0;
-      return heard_;
+      return received_;
     }
   }
   bool ended() {
@@ -152,92 +154,94 @@
 
  private:
   int descriptor_;
-  std::string heard_;
+  std::string received_;
   bool ended_ = false, was_reset_ = false;
 };
 
 enum class ClientEnd { kClose, kReset, kFinish };
 const ClientEnd kClientEnds[] = {ClientEnd::kClose, ClientEnd::kReset, ClientEnd::kFinish};
 
-void end_client(PlainClient& client, ClientEnd how) {
-  if (how == ClientEnd::kClose) client.close();
-  if (how == ClientEnd::kReset) client.reset();
-  if (how == ClientEnd::kFinish) client.finish();
+void end_client(PlainClient& client, ClientEnd client_end) {
+  if (client_end == ClientEnd::kClose) client.close();
+  if (client_end == ClientEnd::kReset) client.reset();
+  if (client_end == ClientEnd::kFinish) client.finish();
 }
 
-// A director between clients and a cache c1, a parent P1 and the origin O, each a stand-in.
+// A director between clients and a cache c1, a parent P1 and the origin O; the nodes are stand-in servers.
 class TestDirector {
  public:
-  explicit TestDirector(const std::function<void(Limits&)>& change = {}) {
-    const auto nothing = *protocol::Json::parse("{}");
-    limits = program::fill_limits(nothing, nothing);
+  explicit TestDirector(const std::function<void(Limits&)>& adjust_limits = {}) {
+    const auto empty_configuration = *protocol::Json::parse("{}");
+    limits = program::fill_limits(empty_configuration, empty_configuration);
     limits.client_idle_timeout = 15;
     limits.request_read_timeout = 15;
     limits.suspect_timeout = 15;
     limits.answer_stall_timeout = 15;
     limits.final_write_delay = 0;
-    if (change) change(limits);
+    if (adjust_limits) adjust_limits(limits);
     Settings settings = DirectorFixture::usual_settings();
     settings["FamilyInfo.Direct"] = "true";
     const ConfiguredNames names{
         {"video", "docs", "write"}, {"z0", "z1", "z2"}, {"cache", "parent", "origin"}, {false, false, true}};
-    module.emplace(scheduler, limits, counters, log, names, settings, 7);
-    module->start();
+    actor.emplace(scheduler, limits, counters, log, names, settings, 7);
+    actor->start();
     list_nodes(cache.address);
-    front.emplace(scheduler, limits, counters, *transport::Address::parse("127.0.0.1:0"), names, *module);
-    front->start();
-    scheduler.on_late = [this](Seconds until) { module->woke_late(until); };
+    listener.emplace(scheduler, limits, counters, *transport::Address::parse("127.0.0.1:0"), names, *actor);
+    listener->start();
+    scheduler.on_late = [this](Seconds until) { actor->woke_late(until); };
     scheduler.on_failure = [this](std::exception_ptr) { ++failures; };
   }
-  ~TestDirector() { std::fclose(sink); }
+  ~TestDirector() { std::fclose(log_file); }
   void list_nodes(transport::Address cache_address) {
-    const auto entry = [](const std::string& id, transport::Address at, const std::string& zone,
+    const auto entry = [](const std::string& id, transport::Address node_address, const std::string& zone,
                           const std::string& kind) {
-      return R"({"id":")" + id + R"(","addr":")" + at.text() + R"(","zone":")" + zone + R"(","kind":")" +
-             kind + R"(","cell":1,"state":"active","weight":6,"started_ms":0})";
+      return R"({"id":")" + id + R"(","addr":")" + node_address.text() + R"(","zone":")" + zone +
+             R"(","kind":")" + kind + R"(","cell":1,"state":"active","weight":6,"started_ms":0})";
     };
-    module->known_change_arrived(*protocol::Json::parse(R"({"seq":5,"fleet":{"full":true,"servers":[)" +
-                                                        entry("c1", cache_address, "z2", "cache") + "," +
-                                                        entry("P1", parent.address, "z0", "parent") + "," +
-                                                        entry("O", origin.address, "z1", "origin") + "]}}"));
-  }
-  void until(const std::function<bool()>& holds) { CHECK(run_until(scheduler, holds)); }
-  // How many attempts the nodes have heard for requests whose id begins so.
-  std::size_t attempts_heard(const std::string& id = "") const {
+    actor->known_change_arrived(*protocol::Json::parse(R"({"seq":5,"fleet":{"full":true,"servers":[)" +
+                                                       entry("c1", cache_address, "z2", "cache") + "," +
+                                                       entry("P1", parent.address, "z0", "parent") + "," +
+                                                       entry("O", origin.address, "z1", "origin") + "]}}"));
+  }
+  void wait_until(const std::function<bool()>& condition) { CHECK(run_until(scheduler, condition)); }
+  // How many attempts the nodes have received for requests whose id has this prefix.
+  std::size_t attempts_received(const std::string& id = "") const {
     std::size_t count = 0;
-    const std::string mark = "serve " + id;
+    const std::string command = "serve " + id;
     for (const StandInServer* node : {&cache, &parent, &origin})
-      for (const auto& end : node->connections)
-        for (auto at = end->received.find(mark); at != std::string::npos;
-             at = end->received.find(mark, at + 1))
+      for (const auto& connection : node->connections)
+        for (auto at = connection->received.find(command); at != std::string::npos;
+             at = connection->received.find(command, at + 1))
           ++count;
     return count;
   }
-  void until_attempts(const std::string& id, std::size_t count) {
-    CHECK_MESSAGE(run_until(scheduler, [&] { return attempts_heard(id) >= count; }), id);
+  void wait_for_attempts(const std::string& id, std::size_t count) {
+    CHECK_MESSAGE(run_until(scheduler, [&] { return attempts_received(id) >= count; }), id);
   }
-  // Ends the connection of the only client so far; its attempts until now are those that may be heard of.
-  void end(PlainClient& client, ClientEnd how) {
+  // Ends the connection of the only client so far; its attempts until then are the only ones permitted.
+  void end_connection(PlainClient& client, ClientEnd client_end) {
     attempts_at_end = counters.attempts;
-    end_client(client, how);
+    end_client(client, client_end);
   }
-  // The client is known to have gone, and what was posted then has been done; or a further attempt began.
-  void until_gone() {
-    until(
-        [&] { return (front->clients() == 0 && counters.left == 1) || counters.attempts > attempts_at_end; });
+  // Waits until the director has noticed the disconnect and has run the calls posted by it, or until a
+  // further attempt began.
+  void wait_for_disconnect() {
+    wait_until([&] {
+      return (listener->clients() == 0 && counters.left == 1) || counters.attempts > attempts_at_end;
+    });
   }
-  // The only request has been called off, and nothing more began.
-  void check_called_off() const {
+  // The only request has been cancelled, and no further attempt began.
+  void check_cancelled() const {
     CHECK(counters.attempts == attempts_at_end);
     CHECK(counters.taken == 1);
     CHECK(counters.left == 1);
     CHECK(counters.open == 0);
   }
-  // Each node that holds an attempt at the request answers it so.
+  // Each node with an attempt of the request sends this answer.
   void nodes_answer(const std::string& id, const std::string& answer) {
     for (StandInServer* node : {&cache, &parent, &origin})
-      for (const auto& end : node->connections)
-        if (end->has_received("serve " + id)) end->try_send(id + " " + answer + "\r\n");
+      for (const auto& connection : node->connections)
+        if (connection->has_received("serve " + id)) connection->try_send(id + " " + answer + "\r\n");
   }
 
   Scheduler scheduler;
@@ -245,158 +249,159 @@
   Counters counters;
   std::uint64_t attempts_at_end = 0;
   int failures = 0;
-  std::FILE* sink = std::tmpfile();
-  Log log{fileno(sink)};
+  std::FILE* log_file = std::tmpfile();
+  Log log{fileno(log_file)};
   StandInServer cache{scheduler}, parent{scheduler}, origin{scheduler};
-  std::optional<DirectorActor> module;
-  std::optional<ClientListener> front;
+  std::optional<DirectorActor> actor;
+  std::optional<ClientListener> listener;
 };
 
-// What a client pipelines behind the request in work, so that its end can't be read while that is open.
+// How much a client pipelines behind its open request. Its close cannot be read while that request is open.
 const std::size_t kPipelinedKb[] = {0, 40, 120, 200};
 
 }  // namespace
 
-TEST_CASE("a client that has gone: no attempt begins after its close, whatever it sent before") {
+TEST_CASE("a disconnected client: no attempt begins after the close, whatever was sent before it") {
   for (const std::size_t kilobytes : kPipelinedKb) {
-    for (const ClientEnd how : kClientEnds) {
+    for (const ClientEnd client_end : kClientEnds) {
       CAPTURE(kilobytes);
-      CAPTURE(static_cast<int>(how));
+      CAPTURE(static_cast<int>(client_end));
       TestDirector director;
-      PlainClient client(director.front->address());
+      PlainClient client(director.listener->address());
       client.send(get(kId1));
-      director.until_attempts(kId1, 1);
+      director.wait_for_attempts(kId1, 1);
       client.send(pipelined(kilobytes << 10));
-      director.end(client, how);
-      // The failure reaches the director after the close, and would be followed by a retry.
+      director.end_connection(client, client_end);
+      // The failed answer reaches the director after the close, and would cause a retry.
       director.nodes_answer(kId1, kAbsent);
-      director.until_gone();
-      director.check_called_off();
+      director.wait_for_disconnect();
+      director.check_cancelled();
     }
   }
 }
 
-TEST_CASE("a client that has gone while its attempt waits for a connection") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+TEST_CASE("a client that disconnects while its attempt waits for a connection") {
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
-    // The only place in the queue is taken, so that no further connection comes up.
+    // The only place in the listen queue is taken, so that no further connection comes up.
     transport::Listener full(director.scheduler, *transport::Address::parse("127.0.0.1:0"), 0);
     const auto first = dial(director.scheduler, full.address());
     director.list_nodes(full.address());
-    PlainClient client(director.front->address()), other(director.front->address());
+    PlainClient client(director.listener->address()), other(director.listener->address());
     client.send(get(kId1));
-    director.until([&] { return director.counters.attempts == 1; });
+    director.wait_until([&] { return director.counters.attempts == 1; });
     client.send(pipelined(40 << 10));
-    director.end(client, how);
+    director.end_connection(client, client_end);
     other.send(get(kId2));
-    director.until_attempts(kId2, 1);  // on another node, once the connection has failed
-    CHECK(director.attempts_heard(kId1) == director.attempts_at_end - 1);
+    director.wait_for_attempts(kId2, 1);  // on another node, once the connection has failed
+    CHECK(director.attempts_received(kId1) == director.attempts_at_end - 1);
     CHECK(director.counters.left == 1);
   }
 }
 
-TEST_CASE("a client that has gone before its attempt counts as late: no second one begins") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+TEST_CASE("a client that disconnects before its attempt counts as late: no second attempt begins") {
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
-    PlainClient client(director.front->address()), other(director.front->address());
+    PlainClient client(director.listener->address()), other(director.listener->address());
     client.send(get(kId1));
-    director.until_attempts(kId1, 1);
+    director.wait_for_attempts(kId1, 1);
     client.send(pipelined(40 << 10));
-    director.end(client, how);
+    director.end_connection(client, client_end);
     other.send(get(kId2));
-    director.until_attempts(kId2, 2);  // of the same class, and begun later
-    CHECK(director.attempts_heard(kId1) == director.attempts_at_end);
+    director.wait_for_attempts(kId2, 2);  // of the same request class, and begun later
+    CHECK(director.attempts_received(kId1) == director.attempts_at_end);
     CHECK(director.counters.left == 1);
   }
 }
 
-TEST_CASE("a client that has gone in the pause between two attempts") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+TEST_CASE("a client that disconnects in the pause between two attempts") {
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
-    PlainClient client(director.front->address()), other(director.front->address());
+    PlainClient client(director.listener->address()), other(director.listener->address());
     client.send(put(kId1));
     other.send(put(kId2));
-    director.until_attempts(kId1, 1);
-    director.until_attempts(kId2, 1);
+    director.wait_for_attempts(kId1, 1);
+    director.wait_for_attempts(kId2, 1);
     director.nodes_answer(kId1, "AGAIN - 0\r\n");
-    director.until([&] { return director.counters.ended_turned_away == 1; });
+    director.wait_until([&] { return director.counters.ended_turned_away == 1; });
     client.send(pipelined(40 << 10));
-    director.end(client, how);
-    director.until(
+    director.end_connection(client, client_end);
+    director.wait_until(
         [&] { return director.counters.left == 1 || director.counters.attempts > director.attempts_at_end; });
     director.nodes_answer(kId2, "AGAIN - 0\r\n");
-    director.until_attempts(kId2, 2);
-    CHECK(director.attempts_heard(kId1) == director.attempts_at_end - 1);
+    director.wait_for_attempts(kId2, 2);
+    CHECK(director.attempts_received(kId1) == director.attempts_at_end - 1);
   }
 }
 
-TEST_CASE("a client that went while the process stood still: what came meanwhile begins no attempt") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+TEST_CASE(
+    "a client that disconnects while the process is suspended: what arrived meanwhile begins no attempt") {
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
-    PlainClient client(director.front->address());
+    PlainClient client(director.listener->address());
     client.send(get(kId1));
-    director.until_attempts(kId1, 1);
+    director.wait_for_attempts(kId1, 1);
     client.send(pipelined(40 << 10));
     bool has_ended = false;
     director.scheduler.at(Scheduler::now(), [&] {
       has_ended = true;
       director.nodes_answer(kId1, kAbsent);
-      director.end(client, how);
-      usleep(400000);  // as if the process were stopped, for longer than a turn counts as late
+      director.end_connection(client, client_end);
+      usleep(400000);  // as if the process were suspended, for longer than makes a turn late
     });
-    director.until([&] { return has_ended; });
-    director.until_gone();
+    director.wait_until([&] { return has_ended; });
+    director.wait_for_disconnect();
     CHECK(director.counters.late_turns > 0);
-    director.check_called_off();
+    director.check_cancelled();
   }
 }
 
 TEST_CASE("a request read after its client has closed is not started") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director([](Limits& limits) { limits.max_clients = 1; });
-    PlainClient first(director.front->address()), second(director.front->address());
+    PlainClient first(director.listener->address()), second(director.listener->address());
     first.send(get(kId1));
-    director.until_attempts(kId1, 1);
-    second.send(get(kId2));  // waits for room, already accepted
-    director.until([&] { return director.counters.accept_paused > 0; });
-    end_client(second, how);
+    director.wait_for_attempts(kId1, 1);
+    second.send(get(kId2));  // already accepted, and held until there is room
+    director.wait_until([&] { return director.counters.accept_paused > 0; });
+    end_client(second, client_end);
     director.nodes_answer(kId1, "ACK - 0\r\n");
-    director.until([&] { return director.counters.completed == 1; });
+    director.wait_until([&] { return director.counters.completed == 1; });
     first.close();
-    director.until([&] { return director.counters.clients_closed == 2; });
-    CHECK(director.attempts_heard(kId2) == 0);
+    director.wait_until([&] { return director.counters.clients_closed == 2; });
+    CHECK(director.attempts_received(kId2) == 0);
     CHECK(director.counters.taken == 1);
   }
 }
 
-TEST_CASE("a client that goes while its attempt's failure waits for the module: the retry is not sent") {
-  for (const ClientEnd how : kClientEnds) {
-    CAPTURE(static_cast<int>(how));
+TEST_CASE("a client that disconnects while its failed attempt waits in the mailbox: the retry is not sent") {
+  for (const ClientEnd client_end : kClientEnds) {
+    CAPTURE(static_cast<int>(client_end));
     TestDirector director;
-    PlainClient client(director.front->address()), other(director.front->address());
-    // The same way for another request before: the connection for the retry is up, and idle.
+    PlainClient client(director.listener->address()), other(director.listener->address());
+    // Another request takes the same way before: the connection for the retry is then up and idle.
     other.send(get(kId2));
-    director.until_attempts(kId2, 1);
+    director.wait_for_attempts(kId2, 1);
     director.nodes_answer(kId2, kAbsent);
-    director.until_attempts(kId2, 2);
+    director.wait_for_attempts(kId2, 2);
     director.nodes_answer(kId2, "ACK - 0\r\n");
-    director.until([&] { return director.counters.completed == 1; });
+    director.wait_until([&] { return director.counters.completed == 1; });
     client.send(get(kId1));
-    director.until_attempts(kId1, 1);
-    director.module->woke_late(Scheduler::now() + 0.3);  // holds what comes from now on
+    director.wait_for_attempts(kId1, 1);
+    director.actor->woke_late(Scheduler::now() + 0.3);  // requests and ends of attempts are held from now on
     director.nodes_answer(kId1, "NOENT why=absent 3\r\nabc");
-    director.until([&] { return director.counters.bytes_filled > 0; });
-    const std::size_t heard_before = director.attempts_heard(kId1);
-    director.end(client, how);
-    director.until([&] { return director.counters.left == 1; });
+    director.wait_until([&] { return director.counters.bytes_filled > 0; });
+    const std::size_t attempts_before = director.attempts_received(kId1);
+    director.end_connection(client, client_end);
+    director.wait_until([&] { return director.counters.left == 1; });
     other.send(get(kId3));
-    director.until_attempts(kId3, 1);
-    CHECK(director.attempts_heard(kId1) == heard_before);
+    director.wait_for_attempts(kId3, 1);
+    CHECK(director.attempts_received(kId1) == attempts_before);
   }
 }
 
@@ -404,252 +409,259 @@
 
 namespace {
 
-// The client got this status and then the end of the connection, and was not reset.
+// The client received this status and then the end of the stream, not a reset.
 void check_answered_and_ended(TestDirector& director, PlainClient& client, const std::string& status) {
-  director.until([&] { return client.ended() || client.was_reset(); });
+  director.wait_until([&] { return client.ended() || client.was_reset(); });
   CHECK(client.received().starts_with("HTTP/1.1 " + status));
   CHECK_FALSE(client.was_reset());
 }
 
 }  // namespace
 
-TEST_CASE("a request of which a part was read is answered before its connection is closed") {
+TEST_CASE("a partly read request is answered before its connection is closed") {
   struct Path {
     const char* name;
     const char* status;
-    std::function<void(Limits&)> change;
+    std::function<void(Limits&)> adjust_limits;
     std::function<void(TestDirector&)> close;
   };
   std::optional<PlainClient> other;
-  const Path kPaths[] = {
-      {"time-out", "408", [](Limits& limits) { limits.request_read_timeout = 0.05; }, [](TestDirector&) {}},
+  const Path paths[] = {
+      {"timeout", "408", [](Limits& limits) { limits.request_read_timeout = 0.05; }, [](TestDirector&) {}},
       {"room for another client", "503",
        [](Limits& limits) {
          limits.max_clients = 1;
          limits.first_request_grace = 0;
        },
-       [&](TestDirector& director) { other.emplace(director.front->address()); }},
-      {"the end of a drain", "503", [](Limits&) {}, [](TestDirector& director) { director.front->close(); }},
+       [&](TestDirector& director) { other.emplace(director.listener->address()); }},
+      {"the end of a drain", "503", [](Limits&) {},
+       [](TestDirector& director) { director.listener->close(); }},
   };
-  for (const Path& path : kPaths) {
+  for (const Path& path : paths) {
     CAPTURE(path.name);
-    TestDirector director(path.change);
-    PlainClient client(director.front->address());
+    TestDirector director(path.adjust_limits);
+    PlainClient client(director.listener->address());
     client.send("GET /_health HTTP/1.1\r\n");
-    director.until([&] { return director.front->clients() == 1; });
+    director.wait_until([&] { return director.listener->clients() == 1; });
     const Seconds read_by = Scheduler::now() + 0.01;
-    director.until([&] { return Scheduler::now() > read_by; });
+    director.wait_until([&] { return Scheduler::now() > read_by; });
     path.close(director);
     check_answered_and_ended(director, client, path.status);
     other.reset();
   }
 }
 
-TEST_CASE("a request that crosses the end of a drain, unread, is served; an idle connection just ends") {
+TEST_CASE("an unread request that arrives as a drain ends is served; an idle connection is closed") {
   TestDirector director;
-  PlainClient asks(director.front->address()), idle(director.front->address());
-  director.until([&] { return director.front->clients() == 2; });
-  asks.send(get(kId1));
-  director.front->close();
-  director.until_attempts(kId1, 1);
+  PlainClient requesting(director.listener->address()), idle(director.listener->address());
+  director.wait_until([&] { return director.listener->clients() == 2; });
+  requesting.send(get(kId1));
+  director.listener->close();
+  director.wait_for_attempts(kId1, 1);
   director.nodes_answer(kId1, "ACK - 2\r\nok");
-  director.until([&] { return asks.received().ends_with("ok"); });
-  director.front->close();
-  director.until([&] { return asks.ended() && idle.ended(); });
+  director.wait_until([&] { return requesting.received().ends_with("ok"); });
+  director.listener->close();
+  director.wait_until([&] { return requesting.ended() && idle.ended(); });
   CHECK(idle.received().empty());
   CHECK_FALSE(idle.was_reset());
 }
 
 TEST_CASE("the end of a drain does not reset an answer on its way to a client that still sends") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   client.send("nonsense\r\n\r\n");
-  director.until([&] { return director.counters.clients_bad == 1; });
+  director.wait_until([&] { return director.counters.clients_bad == 1; });
   client.send(std::string(100000, 'x'));
-  director.front->close();
+  director.listener->close();
   client.send(std::string(100000, 'x'));
   check_answered_and_ended(director, client, "400");
 }
 
-TEST_CASE("a request that crosses the idle time-out, unread, is served") {
-  bool crossed = false;
-  for (int tries = 0; tries < 20 && !crossed; ++tries) {
+TEST_CASE("an unread request that arrives as the idle timeout expires is served") {
+  bool interleaved = false;
+  for (int tries = 0; tries < 20 && !interleaved; ++tries) {
     TestDirector director([](Limits& limits) { limits.client_idle_timeout = 0.2; });
-    PlainClient client(director.front->address());
+    PlainClient client(director.listener->address());
     client.send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
-    director.until([&] { return client.received().ends_with("ok\n"); });
+    director.wait_until([&] { return client.received().ends_with("ok\n"); });
     const Seconds answered = Scheduler::now();
-    // One turn goes past the time-out; in the next the request comes before it, after the sockets were heard.
+    // One turn of the scheduler lasts past the timeout; in the next one the request arrives before the
+    // timeout is handled, and after the sockets were polled.
     director.scheduler.at(answered + 0.1, [] { usleep(200000); });
     bool sent = false;
     director.scheduler.at(answered + 0.11, [&] {
-      crossed = !client.ended();
+      interleaved = !client.ended();
       client.send(get(kId1));
       sent = true;
     });
-    director.until([&] { return sent; });
-    if (!crossed) continue;  // a machine so busy that the time-out came before
-    director.until(
-        [&] { return director.attempts_heard(kId1) == 1 || client.ended() || client.was_reset(); });
-    CHECK(director.attempts_heard(kId1) == 1);
-  }
-  CHECK(crossed);
+    director.wait_until([&] { return sent; });
+    if (!interleaved)
+      continue;  // the machine was so busy that the timeout was handled before the request was sent
+    director.wait_until(
+        [&] { return director.attempts_received(kId1) == 1 || client.ended() || client.was_reset(); });
+    CHECK(director.attempts_received(kId1) == 1);
+  }
+  CHECK(interleaved);
 }
 
-TEST_CASE("no memory for a request that is read: it is rejected, and harmless to repeat") {
+TEST_CASE("no memory for a request that is being read: it is rejected, so that it may be repeated") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   std::string request = put(kId1);
   request.replace(request.find("Content-Length: 2\r\n\r\nab"), std::string::npos,
                   "Content-Length: 40000\r\n\r\n" + std::string(40000, 'b'));
   client.send(request);
   {
-    const FailingAllocations fails(20000, 60000);
-    director.until([&] { return client.ended() || client.was_reset(); });
+    const FailingAllocations failing_allocations(20000, 60000);
+    director.wait_until([&] { return client.ended() || client.was_reset(); });
   }
   check_answered_and_ended(director, client, "503");
   CHECK(director.failures > 0);
   CHECK(director.counters.attempts == 0);
 }
 
-TEST_CASE("no memory to read ahead: the open request gets its answer, and the next ones are read after it") {
+TEST_CASE("no memory to read ahead: the open request is answered, and the next ones are read after it") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   client.send(get(kId1));
-  director.until_attempts(kId1, 1);
+  director.wait_for_attempts(kId1, 1);
   {
     const std::string requests = pipelined(24 << 10);
-    const FailingAllocations fails(17000, 60000);
+    const FailingAllocations failing_allocations(17000, 60000);
     client.send(requests);
-    director.until([&] { return director.failures > 0; });
+    director.wait_until([&] { return director.failures > 0; });
     director.nodes_answer(kId1, "ACK - 3\r\none");
-    director.until(
+    director.wait_until(
         [&] { return client.received().ends_with("one") || client.ended() || client.was_reset(); });
   }
   CHECK(client.received().ends_with("one"));
-  director.until_attempts("0000000000001000", 1);
+  director.wait_for_attempts("0000000000001000", 1);
 }
 
-TEST_CASE("no memory for an answer: a final answer that says so") {
+TEST_CASE("no memory for an answer: the request fails with a final answer") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   client.send(get(kId1));
-  director.until_attempts(kId1, 1);
+  director.wait_for_attempts(kId1, 1);
   director.nodes_answer(kId1, "ACK - 40000\r\n" + std::string(40000, 'x'));
-  // The node's bytes fit, head and bytes together do not.
-  const FailingAllocations fails(40040, 40060);
+  // The allocation for the node's bytes succeeds, the one for head and bytes together fails.
+  const FailingAllocations failing_allocations(40040, 40060);
   check_answered_and_ended(director, client, "500");
   CHECK(director.failures == 1);
 }
 
 TEST_CASE("no memory for a new client: it is closed unread, and the next one is served") {
   TestDirector director;
-  PlainClient client(director.front->address());
+  PlainClient client(director.listener->address());
   {
-    const FailingAllocations fails(sizeof(ClientConnection), sizeof(ClientConnection) + 64);
-    director.until([&] { return director.failures > 0; });
+    const FailingAllocations failing_allocations(sizeof(ClientConnection), sizeof(ClientConnection) + 64);
+    director.wait_until([&] { return director.failures > 0; });
   }
-  director.until([&] { return client.ended() || client.was_reset(); });
-  PlainClient next(director.front->address());
+  director.wait_until([&] { return client.ended() || client.was_reset(); });
+  PlainClient next(director.listener->address());
   next.send(get(kId1));
-  director.until_attempts(kId1, 1);
+  director.wait_for_attempts(kId1, 1);
 }
 
 // --- accepts that fail ---
 
-TEST_CASE("accepts that fail for a moment: a short pause, no client is closed, and all are served") {
+TEST_CASE("accepts that fail briefly: a short pause, no client is closed, and all are served") {
   for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM, ENETDOWN, EPERM}) {
     CAPTURE(error);
-    // A pause by these limits would outlast the test.
+    // A pause as long as these limits would exceed the test's time.
     TestDirector director([](Limits& limits) {
       limits.first_request_grace = 0;
       limits.linger_timeout = 100;
       limits.max_linger = 100;
       limits.accept_retry_delay = 100;
     });
-    PlainClient idle(director.front->address());
-    director.until([&] { return director.front->clients() == 1; });
-    const FailingAccepts fails(error == EMFILE ? 1 : 4, error);
-    PlainClient asks(director.front->address());
-    asks.send(get(kId1));
-    director.until_attempts(kId1, 1);
+    PlainClient idle(director.listener->address());
+    director.wait_until([&] { return director.listener->clients() == 1; });
+    const FailingAccepts failing_accepts(error == EMFILE ? 1 : 4, error);
+    PlainClient requesting(director.listener->address());
+    requesting.send(get(kId1));
+    director.wait_for_attempts(kId1, 1);
     CHECK(accepts_to_fail == 0);
-    // A failure of the one connection that would have been taken says nothing of the next (Listener::accept).
+    // These errors concern the one connection that was to be accepted, and say nothing about the next
+    // (Listener::accept).
     const bool of_one_connection = error == ENETDOWN || error == EPERM;
     const int pauses = of_one_connection ? 0 : accepts_failed;
     CHECK(director.counters.accept_paused == static_cast<std::uint64_t>(pauses));
     CHECK_FALSE(idle.ended());
-    CHECK(director.front->clients() == 2);
+    CHECK(director.listener->clients() == 2);
   }
 }
 
-TEST_CASE("accepts that go on failing: ever longer pauses, and few clients are closed") {
+TEST_CASE("accepts that keep failing: the pauses grow, and few clients are closed") {
   constexpr std::size_t kIdle = 20;
-  constexpr int kMany = 1000000;
+  constexpr int kManyFailures = 1000000;
   for (const int error : {EMFILE, ENOBUFS}) {
     CAPTURE(error);
     TestDirector director([](Limits& limits) { limits.first_request_grace = 0; });
     std::list<PlainClient> idle;
-    while (idle.size() < kIdle) idle.emplace_back(director.front->address());
-    director.until([&] { return director.front->clients() == kIdle; });
-    const FailingAccepts fails(kMany, error);
-    PlainClient waits(director.front->address());
+    while (idle.size() < kIdle) idle.emplace_back(director.listener->address());
+    director.wait_until([&] { return director.listener->clients() == kIdle; });
+    const FailingAccepts failing_accepts(kManyFailures, error);
+    PlainClient waiting(director.listener->address());
     const Seconds start = Scheduler::now();
-    director.until([&] { return Scheduler::now() > start + 0.5; });
-    // 2 ms doubled: 8 pauses take 0.51 s, and the longest is 0.256 s; a turn without one follows a close.
+    director.wait_until([&] { return Scheduler::now() > start + 0.5; });
+    // 2 ms doubled: 8 pauses take 0.51 s, and the longest is 0.256 s; after a client was closed there is no
+    // pause.
     const double spent = Scheduler::now() - start;
     CHECK(accepts_failed <= 2 * (8 + spent / 0.25));
     const auto failed = static_cast<std::size_t>(accepts_failed);
-    CHECK(director.front->clients() >= kIdle - std::min(kIdle, failed / 2));
-    if (error != EMFILE) CHECK(director.front->clients() == kIdle);
+    CHECK(director.listener->clients() >= kIdle - std::min(kIdle, failed / 2));
+    if (error != EMFILE) CHECK(director.listener->clients() == kIdle);
   }
 }
 
-TEST_CASE("out of descriptors for longer: an idle client makes room, one amid an open request does not") {
+TEST_CASE("a longer lack of descriptors: an idle client is closed, one with an open request is not") {
   TestDirector director([](Limits& limits) { limits.first_request_grace = 0; });
-  PlainClient busy(director.front->address()), idle(director.front->address());
+  PlainClient busy(director.listener->address()), idle(director.listener->address());
   busy.send(get(kId1));
-  director.until_attempts(kId1, 1);
-  const FailingAccepts fails(6, EMFILE);
-  PlainClient asks(director.front->address());
-  asks.send(get(kId2));
-  director.until_attempts(kId2, 1);
+  director.wait_for_attempts(kId1, 1);
+  const FailingAccepts failing_accepts(6, EMFILE);
+  PlainClient requesting(director.listener->address());
+  requesting.send(get(kId2));
+  director.wait_for_attempts(kId2, 1);
   CHECK(idle.ended());
   CHECK_FALSE(busy.ended());
   director.nodes_answer(kId1, "ACK - 3\r\none");
-  director.until([&] { return busy.received().ends_with("one"); });
+  director.wait_until([&] { return busy.received().ends_with("one"); });
 }
 
-TEST_CASE("a request that crosses the search for room, unread, is served") {
-  bool crossed = false;
-  for (int tries = 0; tries < 20 && !crossed; ++tries) {
+TEST_CASE("an unread request that arrives as an idle client is to be closed is served") {
+  bool interleaved = false;
+  for (int tries = 0; tries < 20 && !interleaved; ++tries) {
     TestDirector director([](Limits& limits) { limits.first_request_grace = 0; });
     std::list<PlainClient> clients;
     for (int i = 0; i < 3; ++i) {
-      clients.emplace_back(director.front->address());
+      clients.emplace_back(director.listener->address());
       clients.back().send("GET /_health HTTP/1.1\r\nHost: s\r\n\r\n");
-      director.until([&] { return clients.back().received().ends_with("ok\n"); });
+      director.wait_until([&] { return clients.back().received().ends_with("ok\n"); });
     }
-    PlainClient& asks = clients.back();
-    // The second failure closes the first client, the fourth the second one; the sixth comes 32 ms after the
+    PlainClient& requesting = clients.back();
+    // The second failure closes the first client, the fourth the second one; the sixth is 32 ms after the
     // fifth, and would close the third.
-    const FailingAccepts fails(6, EMFILE);
-    PlainClient other(director.front->address());
-    director.until([&] { return accepts_failed == 5; });
+    const FailingAccepts failing_accepts(6, EMFILE);
+    PlainClient other(director.listener->address());
+    director.wait_until([&] { return accepts_failed == 5; });
     const Seconds before = Scheduler::now();
-    // One turn goes past the pause; in the next the request comes before its end, after the sockets were
-    // heard.
+    // One turn of the scheduler lasts past the pause; in the next one the request arrives before the end of
+    // the pause is handled, and after the sockets were polled.
     director.scheduler.at(before, [] { usleep(100000); });
     bool sent = false;
     director.scheduler.at(before + 0.001, [&] {
-      crossed = accepts_failed == 5 && !asks.ended();
-      asks.send(get(kId1));
+      interleaved = accepts_failed == 5 && !requesting.ended();
+      requesting.send(get(kId1));
       sent = true;
     });
-    director.until([&] { return sent; });
-    if (!crossed) continue;  // a machine so busy that the pause was over before
-    director.until([&] { return director.attempts_heard(kId1) == 1 || asks.ended() || asks.was_reset(); });
-    CHECK(director.attempts_heard(kId1) == 1);
+    director.wait_until([&] { return sent; });
+    if (!interleaved) continue;  // the machine was so busy that the pause ended before the request was sent
+    director.wait_until([&] {
+      return director.attempts_received(kId1) == 1 || requesting.ended() || requesting.was_reset();
+    });
+    CHECK(director.attempts_received(kId1) == 1);
   }
-  CHECK(crossed);
+  CHECK(interleaved);
 }
