--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,5 +1,6 @@
-// The director's log: one record a call (UTC time, level, event name, words, fields) on a descriptor, as text
-// or as JSON lines, through spdlog. Nothing is logged per request. It must never wait for whoever reads it.
+// The director's log: each call writes one record (UTC time, level, event name, message, fields) to a file
+// descriptor, as text or as JSON lines, through spdlog. Nothing is logged per request. Logging never blocks
+// on the reader of the descriptor.
 #pragma once
 
 #include <fmt/format.h>
@@ -22,7 +23,7 @@
 enum class LogFormat { kText, kJson };
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-// One named value of a record; shown in the form kJson only: the words of the text say it already.
+// One named value of a record. Written only as JSON; in the text format the message contains it already.
 struct LogField {
   std::string_view name;
   std::variant<std::string, double, std::uint64_t> value;
@@ -36,19 +37,20 @@
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  void configure(LogFormat form, LogLevel least);
+  void configure(LogFormat form, LogLevel lowest_level);
   LogFormat format() const { return format_; }
 
-  // event is in snake_case and stays the same over versions; words are for people and may change.
-  void event(LogLevel level, std::string_view event, std::string_view words, LogFields fields = {});
+  // The event name is in snake_case and stays the same in all versions; the message is for human readers and
+  // may change.
+  void event(LogLevel level, std::string_view event, std::string_view message, LogFields fields = {});
 
   template <class... Parts>
-  void info(std::string_view name, fmt::format_string<Parts...> words, Parts&&... parts) {
-    event(LogLevel::kInfo, name, fmt::format(words, std::forward<Parts>(parts)...));
+  void info(std::string_view name, fmt::format_string<Parts...> message, Parts&&... parts) {
+    event(LogLevel::kInfo, name, fmt::format(message, std::forward<Parts>(parts)...));
   }
   template <class... Parts>
-  void warning(std::string_view name, fmt::format_string<Parts...> words, Parts&&... parts) {
-    event(LogLevel::kWarning, name, fmt::format(words, std::forward<Parts>(parts)...));
+  void warning(std::string_view name, fmt::format_string<Parts...> message, Parts&&... parts) {
+    event(LogLevel::kWarning, name, fmt::format(message, std::forward<Parts>(parts)...));
   }
 
  private:
--- a/src/base/schema.cpp
+++ b/src/base/schema.cpp
@@ -17,33 +17,33 @@
 
 using nlohmann::json;
 
-// What a part of the schema asks for, in words.
-std::string wanted_by(const json& schema) {
+// Describes the values that a subschema accepts.
+std::string describe_requirement(const json& schema) {
   if (schema.contains("enum")) {
-    std::string words = "one of";
-    for (const json& one : schema["enum"]) words += (words == "one of" ? " " : ", ") + one.dump();
-    return words;
+    std::string text = "one of";
+    for (const json& allowed : schema["enum"]) text += (text == "one of" ? " " : ", ") + allowed.dump();
+    return text;
   }
   const std::string type = schema.value("type", "a value");
-  std::string words = type == "integer"   ? "a whole number"
-                      : type == "number"  ? "a number"
-                      : type == "boolean" ? "true or false"
-                      : type == "string"  ? "a text"
-                      : type == "array"   ? "a list"
-                      : type == "object"  ? "an object"
-                                          : type;
-  if (schema.contains("minimum")) words += " from " + schema["minimum"].dump();
-  if (schema.contains("maximum")) words += " to " + schema["maximum"].dump();
-  if (schema.contains("minLength")) words += " of at least " + schema["minLength"].dump() + " characters";
-  if (schema.contains("maxLength")) words += " of at most " + schema["maxLength"].dump() + " characters";
-  if (schema.contains("minItems")) words += " of at least " + schema["minItems"].dump() + " entries";
-  if (schema.contains("maxItems")) words += " of at most " + schema["maxItems"].dump() + " entries";
+  std::string text = type == "integer"   ? "a whole number"
+                     : type == "number"  ? "a number"
+                     : type == "boolean" ? "true or false"
+                     : type == "string"  ? "a text"
+                     : type == "array"   ? "a list"
+                     : type == "object"  ? "an object"
+                                         : type;
+  if (schema.contains("minimum")) text += " from " + schema["minimum"].dump();
+  if (schema.contains("maximum")) text += " to " + schema["maximum"].dump();
+  if (schema.contains("minLength")) text += " of at least " + schema["minLength"].dump() + " characters";
+  if (schema.contains("maxLength")) text += " of at most " + schema["maxLength"].dump() + " characters";
+  if (schema.contains("minItems")) text += " of at least " + schema["minItems"].dump() + " entries";
+  if (schema.contains("maxItems")) text += " of at most " + schema["maxItems"].dump() + " entries";
   if (schema.contains("pattern") && schema.contains("description"))
-    words += ": " + schema["description"].get<std::string>();
-  return words;
+    text += ": " + schema["description"].get<std::string>();
+  return text;
 }
 
-// valijson names a place as <root>["a"][0]; here it becomes /a/0.
+// Converts valijson's path to a value, as in <root>["a"][0], to a JSON pointer, as in /a/0.
 std::string pointer_of(const std::vector<std::string>& context) {
   std::string pointer;
   for (std::string part : context) {
@@ -57,20 +57,20 @@
   return pointer;
 }
 
-// The part of the schema for a place in the document.
-const json& part_for(const json& schema, const std::string& pointer) {
-  const json* part = &schema;
-  std::istringstream steps(pointer);
-  for (std::string step; std::getline(steps, step, '/');) {
-    if (step.empty()) continue;
-    if (part->contains("items") && step.find_first_not_of("0123456789") == std::string::npos)
-      part = &(*part)["items"];
-    else if (part->contains("properties") && (*part)["properties"].contains(step))
-      part = &(*part)["properties"][step];
-    if (part->contains("$ref"))
-      part = &schema.at(json::json_pointer((*part)["$ref"].get<std::string>().substr(1)));
+// The subschema that applies to the value at a JSON pointer in the document.
+const json& subschema_at(const json& schema, const std::string& pointer) {
+  const json* subschema = &schema;
+  std::istringstream tokens(pointer);
+  for (std::string token; std::getline(tokens, token, '/');) {
+    if (token.empty()) continue;
+    if (subschema->contains("items") && token.find_first_not_of("0123456789") == std::string::npos)
+      subschema = &(*subschema)["items"];
+    else if (subschema->contains("properties") && (*subschema)["properties"].contains(token))
+      subschema = &(*subschema)["properties"][token];
+    if (subschema->contains("$ref"))
+      subschema = &schema.at(json::json_pointer((*subschema)["$ref"].get<std::string>().substr(1)));
   }
-  return *part;
+  return *subschema;
 }
 
 }  // namespace
@@ -93,29 +93,29 @@
   valijson::Validator validator(valijson::Validator::kStrongTypes);
   valijson::ValidationResults results;
   if (validator.validate(schema, document_adapter, &results)) return {};
-  // The innermost place that is wrong.
+  // Report the most deeply nested violation.
   valijson::ValidationResults::Error error, deepest;
   while (results.popError(error))
     if (error.context.size() > deepest.context.size()) deepest = error;
   const std::string pointer = pointer_of(deepest.context);
   const json& value = document.at(json::json_pointer(pointer));
-  const json& part = part_for(schema_json, pointer);
-  if (value.is_object() && part.contains("properties")) {
+  const json& subschema = subschema_at(schema_json, pointer);
+  if (value.is_object() && subschema.contains("properties")) {
     for (const auto& [key, member] : value.items()) {
-      if (part["properties"].contains(key)) continue;
+      if (subschema["properties"].contains(key)) continue;
       std::string known;
-      for (const auto& [name, ignored] : part["properties"].items())
+      for (const auto& [name, ignored] : subschema["properties"].items())
         known += (known.empty() ? "" : ", ") + name;
       return SchemaViolation{std::string(pointer).append("/").append(key), "an unknown key",
                              "one of " + known};
     }
-    if (part.contains("required"))
-      for (const json& name : part["required"])
+    if (subschema.contains("required"))
+      for (const json& name : subschema["required"])
         if (!value.contains(name.get<std::string>()))
           return SchemaViolation{pointer + "/" + name.get<std::string>(), "nothing",
-                                 wanted_by(part["properties"][name.get<std::string>()])};
+                                 describe_requirement(subschema["properties"][name.get<std::string>()])};
   }
-  return SchemaViolation{pointer, describe_value(value), wanted_by(part)};
+  return SchemaViolation{pointer, describe_value(value), describe_requirement(subschema)};
 }
 
 }  // namespace hareramp
--- a/src/transport/buffer.hpp
+++ b/src/transport/buffer.hpp
@@ -1,5 +1,5 @@
-// The bytes that a connection has taken in and not yet used. Grows as needed and is compacted in place; a
-// large one is given back once it is empty.
+// A byte buffer for data that a connection has received and not yet consumed. It grows as needed and is
+// compacted in place; a large one frees its memory once it is empty.
 #pragma once
 
 #include <algorithm>
@@ -13,26 +13,27 @@
 
 class Buffer {
  public:
-  // An empty buffer keeps at most so many bytes of memory.
-  explicit Buffer(std::size_t keep) : keep_(keep) {}
+  // An empty buffer retains at most this many bytes of memory.
+  explicit Buffer(std::size_t retained_bytes) : retained_bytes_(retained_bytes) {}
 
   std::string_view view() const { return {bytes_.get() + begin_, end_ - begin_}; }
   std::size_t size() const { return end_ - begin_; }
   std::size_t capacity() const { return capacity_; }
 
-  // At least so much room behind the bytes held.
-  std::span<char> prepare(std::size_t least) {
-    if (capacity_ - end_ < least && begin_ > 0) {
+  // Returns writable space of at least min_size bytes behind the data; commit() then adds to the data what
+  // was written there.
+  std::span<char> prepare(std::size_t min_size) {
+    if (capacity_ - end_ < min_size && begin_ > 0) {
       std::memmove(bytes_.get(), bytes_.get() + begin_, size());
       end_ -= begin_;
       begin_ = 0;
     }
-    if (capacity_ - end_ < least) {
-      const std::size_t wanted = std::max(end_ + least, 2 * capacity_);
-      auto larger = std::make_unique_for_overwrite<char[]>(wanted);
+    if (capacity_ - end_ < min_size) {
+      const std::size_t new_capacity = std::max(end_ + min_size, 2 * capacity_);
+      auto larger = std::make_unique_for_overwrite<char[]>(new_capacity);
       if (end_ > 0) std::memcpy(larger.get(), bytes_.get(), end_);
       bytes_ = std::move(larger);
-      capacity_ = wanted;
+      capacity_ = new_capacity;
     }
     return {bytes_.get() + end_, capacity_ - end_};
   }
@@ -41,9 +42,9 @@
     begin_ += std::min(count, size());
     if (begin_ < end_) return;
     begin_ = end_ = 0;
-    if (capacity_ > keep_) release();
+    if (capacity_ > retained_bytes_) release();
   }
-  // Gives the memory of an empty buffer back: whoever waits long for bytes needs none until they come.
+  // Frees the memory of an empty buffer: a connection that waits long for data needs none until it arrives.
   void release() {
     if (begin_ < end_) return;
     bytes_.reset();
@@ -51,7 +52,7 @@
   }
 
  private:
-  std::size_t keep_;
+  std::size_t retained_bytes_;
   std::unique_ptr<char[]> bytes_;
   std::size_t capacity_ = 0, begin_ = 0, end_ = 0;
 };
--- a/src/transport/callback.hpp
+++ b/src/transport/callback.hpp
@@ -1,5 +1,5 @@
-// A piece of work to be done later, once: what timers fire and mailboxes carry. Unlike std::function it may
-// own what can't be copied, such as a body on its way.
+// A type-erased function to be called later, once: timers and mailboxes hold these. Unlike std::function it
+// can own objects that can't be copied, such as a body being passed on.
 #pragma once
 
 #include <concepts>
@@ -12,25 +12,25 @@
 class Callback {
  public:
   Callback() = default;
-  template <class Work>
-  requires(!std::same_as<std::decay_t<Work>, Callback>) Callback(Work&& work)
-      : held_(std::make_unique<Holder<std::decay_t<Work>>>(std::forward<Work>(work))) {}
+  template <class Function>
+  requires(!std::same_as<std::decay_t<Function>, Callback>) Callback(Function&& function)
+      : target_(std::make_unique<Holder<std::decay_t<Function>>>(std::forward<Function>(function))) {}
 
-  void operator()() { held_->run(); }
-  explicit operator bool() const { return held_ != nullptr; }
+  void operator()() { target_->run(); }
+  explicit operator bool() const { return target_ != nullptr; }
 
  private:
   struct Base {
     virtual ~Base() = default;
     virtual void run() = 0;
   };
-  template <class Work>
+  template <class Function>
   struct Holder : Base {
-    explicit Holder(Work given) : work(std::move(given)) {}
-    void run() override { work(); }
-    Work work;
+    explicit Holder(Function moved) : function(std::move(moved)) {}
+    void run() override { function(); }
+    Function function;
   };
-  std::unique_ptr<Base> held_;
+  std::unique_ptr<Base> target_;
 };
 
 }  // namespace hareramp::transport
--- a/src/transport/clock.hpp
+++ b/src/transport/clock.hpp
@@ -1,6 +1,6 @@
-// The director's own time: seconds that only go forward, near Unix time by a base that is fixed at the start.
-// A Unix time told by others is a time on this clock as it stands, so that a later step of the system's clock
-// moves neither what is under way nor what is told.
+// The director's clock: monotonic seconds, offset by a fixed base so that at start they equal Unix time. Unix
+// times received from other programs are used on this clock unchanged. A later step of the system's clock
+// moves neither the timers that are running nor the times received.
 #pragma once
 
 #include <time.h>
@@ -13,10 +13,10 @@
  public:
   Clock() : base_(unix_now() - Scheduler::now()) {}
   Seconds now() const { return base_ + Scheduler::now(); }
-  // From and to the scheduler's time.
+  // Converts from and to the scheduler's time.
   Seconds from_scheduler(Seconds time) const { return base_ + time; }
   Seconds to_scheduler(Seconds time) const { return time - base_; }
-  // The wall clock, which may step at any time: for stamps in records, never for a span.
+  // The wall clock, which may step at any time: for timestamps in records, never for measuring durations.
   static Seconds unix_now() {
     timespec time{};
     clock_gettime(CLOCK_REALTIME, &time);
--- a/src/transport/mailbox.hpp
+++ b/src/transport/mailbox.hpp
@@ -1,5 +1,5 @@
-// What an actor has been asked to do, in order. Posting never runs anything at once: the actor's own
-// coroutine takes the calls out one by one.
+// An actor's queue of callbacks, run in order. post() never runs a callback itself: the actor's own coroutine
+// takes them out one by one.
 #pragma once
 
 #include <coroutine>
@@ -18,35 +18,36 @@
   Mailbox(const Mailbox&) = delete;
   Mailbox& operator=(const Mailbox&) = delete;
 
-  void post(Callback call) {
+  void post(Callback callback) {
     if (closed_) return;
-    calls_.push_back(std::move(call));
+    callbacks_.push_back(std::move(callback));
     wake();
   }
-  // What was posted before is still carried out; then serve() ends.
+  // Callbacks posted before still run; then serve() returns. Later ones are discarded.
   void close() {
     closed_ = true;
     wake();
   }
-  std::size_t waiting() const { return calls_.size(); }
+  std::size_t waiting() const { return callbacks_.size(); }
 
-  // The actor's life: carries out each call until the mailbox is closed and empty.
+  // The actor's main loop: runs each callback until the mailbox is closed and empty.
   Task<> serve() {
-    for (Callback call = co_await next(); call; call = co_await next()) scheduler_.run_guarded(call);
+    for (Callback callback = co_await next(); callback; callback = co_await next())
+      scheduler_.run_guarded(callback);
   }
 
   struct Next {
-    Mailbox& box;
-    bool await_ready() const noexcept { return !box.calls_.empty() || box.closed_; }
-    void await_suspend(std::coroutine_handle<> handle) noexcept { box.actor_ = handle; }
+    Mailbox& mailbox;
+    bool await_ready() const noexcept { return !mailbox.callbacks_.empty() || mailbox.closed_; }
+    void await_suspend(std::coroutine_handle<> handle) noexcept { mailbox.actor_ = handle; }
     Callback await_resume() {
-      if (box.calls_.empty()) return {};
-      Callback call = std::move(box.calls_.front());
-      box.calls_.pop_front();
-      return call;
+      if (mailbox.callbacks_.empty()) return {};
+      Callback callback = std::move(mailbox.callbacks_.front());
+      mailbox.callbacks_.pop_front();
+      return callback;
     }
   };
-  Next next() { return Next{*this}; }  // an empty call once it is closed and empty
+  Next next() { return Next{*this}; }  // an empty callback once closed and empty
 
  private:
   void wake() {
@@ -54,7 +55,7 @@
   }
 
   Scheduler& scheduler_;
-  std::deque<Callback> calls_;
+  std::deque<Callback> callbacks_;
   std::coroutine_handle<> actor_;
   bool closed_ = false;
 };
--- a/src/transport/scheduler.hpp
+++ b/src/transport/scheduler.hpp
@@ -1,5 +1,5 @@
-// One thread, one epoll: runs coroutines that are ready, fires timers, and waits for sockets. Everything that
-// the director does happens inside Scheduler::run.
+// The event loop: one thread and one epoll instance. It resumes coroutines that are ready, fires timers and
+// waits for sockets. All of the director's work happens inside Scheduler::run.
 #pragma once
 
 #include <coroutine>
@@ -29,20 +29,25 @@
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
-  // Seconds on a clock that only goes forward; a step of the system's clock does not move it.
+  // Seconds on the monotonic clock; a step of the system's clock does not move it.
   static Seconds now();
 
-  // Runs a task to its end beside the others. What it throws goes to on_failure.
+  // Runs a task concurrently with the others. An exception that ends it goes to on_failure.
   void spawn(Task<> task);
+  // Queues a coroutine to be resumed in the next turn of the loop.
   void resume_soon(std::coroutine_handle<> handle) { ready_.push_back(handle); }
 
-  TimerKey at(Seconds when, Callback what);
+  // Calls the callback once, when now() has reached this time.
+  TimerKey at(Seconds time, Callback callback);
   void cancel(const TimerKey& timer) { timers_.erase(timer); }
 
-  // Ends every coroutine where it stands, and every timer: for an end in which those go first that they use.
+  // Destroys all coroutines, wherever they are suspended, and all timers: for a shutdown in which objects
+  // that the coroutines use are destroyed before the scheduler.
   void clear();
 
-  void run();  // until stop() is called, or nothing is left that could ever happen
+  // Runs until stop() is called, or until no coroutine is ready, no timer is set and no descriptor is
+  // watched.
+  void run();
   void stop() { stopped_ = true; }
 
   auto sleep_until(Seconds when) {
@@ -58,40 +63,45 @@
     return Sleep{*this, when};
   }
 
-  // Guards against acting on old knowledge after the process stood still (stopped, a frozen machine, a turn
-  // that took long): by how much the last turn came late, for a moment after one that came very late; else 0.
-  // What is read then may have waited for so long. It also meets a machine without a free core; what comes
-  // newly in that moment is taken for older than it is.
+  // How late the last turn of the loop started, for a short time after a turn that started very late; else 0.
+  // Guards against acting on outdated data after the process stood still (a stopped process, a frozen
+  // machine, a turn that took long): data read now may have waited in a socket for this long. A machine
+  // without a free core causes it as well. Data that only arrives during that time is taken for older than it
+  // is.
   Seconds lateness() const { return now() < late_until_ ? late_by_ : 0; }
-  std::function<void(Seconds until)> on_late;  // called before anything else is done in such a turn
+  // Called at the start of a very late turn, before anything else, with the time until which lateness() is
+  // above 0.
+  std::function<void(Seconds until)> on_late;
 
-  // Carries a call out; what it throws goes to on_failure, and the loop goes on.
-  void run_guarded(Callback& call) noexcept;
+  // Calls the callback. An exception goes to on_failure and does not end the loop.
+  void run_guarded(Callback& callback) noexcept;
 
+  // Called with each exception that ended a task or a callback.
   std::function<void(std::exception_ptr)> on_failure;
 
  private:
   friend class Watch;
   void run_ready();
-  void tell(const std::exception_ptr& failure) noexcept;
-  void clear_away();
+  void report(const std::exception_ptr& failure) noexcept;
+  void destroy_finished_tasks();
   void wait_for_sockets();
 
   int epoll_;
   bool stopped_ = false;
-  std::size_t watched_ = 0;
-  Seconds turned_at_ = now(), late_by_ = 0, late_until_ = 0;
-  std::uint64_t timers_made_ = 0;
+  std::size_t watch_count_ = 0;
+  Seconds turn_started_at_ = now(), late_by_ = 0, late_until_ = 0;
+  std::uint64_t last_timer_number_ = 0;
   std::deque<std::coroutine_handle<>> ready_;
   std::map<TimerKey, Callback> timers_;
   std::vector<Task<>> spawned_;
-  detail::PromiseBase* done_ = nullptr;
+  detail::PromiseBase* finished_ = nullptr;  // spawned tasks that have ended, a linked list
 };
 
+// How a wait for a descriptor ended.
 enum class WaitResult { kReady, kTimedOut, kClosed };
 
-// One descriptor in the scheduler's epoll. At most one coroutine waits for each direction. The watch is
-// edge-triggered: try the call first, and wait only after it said that it would block.
+// One descriptor registered with the scheduler's epoll instance. At most one coroutine may wait in each
+// direction. The watch is edge-triggered: make the system call first, and wait only if it would block.
 class Watch {
  public:
   Watch(Scheduler& scheduler, int descriptor);
@@ -99,43 +109,46 @@
   Watch(const Watch&) = delete;
   Watch& operator=(const Watch&) = delete;
 
-  struct Side {
-    std::coroutine_handle<> waiting;
+  // One direction: the coroutine that waits for it, and its timeout.
+  struct Direction {
+    std::coroutine_handle<> waiter;
     Scheduler::TimerKey timer{};
-    bool timed = false;
+    bool has_timer = false;
     WaitResult result = WaitResult::kReady;
   };
   struct Wait {
     Watch& watch;
-    Side& side;
+    Direction& direction;
     Seconds until;
-    WaitResult when_over = WaitResult::kTimedOut;  // the result at that time
+    WaitResult result_at_timeout = WaitResult::kTimedOut;
     bool await_ready() const noexcept { return watch.closed_; }
     void await_suspend(std::coroutine_handle<> handle);
-    WaitResult await_resume() const noexcept { return watch.closed_ ? WaitResult::kClosed : side.result; }
+    WaitResult await_resume() const noexcept {
+      return watch.closed_ ? WaitResult::kClosed : direction.result;
+    }
   };
-  Wait readable(Seconds until) { return {*this, reading_, until}; }
-  Wait writable(Seconds until) { return {*this, writing_, until}; }
-  // After a call that failed for want of kernel memory: no event tells when to try again, so by then at the
-  // latest it is taken for ready.
-  Wait readable_by(Seconds then) { return {*this, reading_, then, WaitResult::kReady}; }
-  Wait writable_by(Seconds then) { return {*this, writing_, then, WaitResult::kReady}; }
+  Wait readable(Seconds until) { return {*this, read_direction_, until}; }
+  Wait writable(Seconds until) { return {*this, write_direction_, until}; }
+  // For use after a system call failed because the kernel had no memory: epoll reports no event when the call
+  // can be repeated, so the descriptor counts as ready by this time at the latest.
+  Wait readable_by(Seconds time) { return {*this, read_direction_, time, WaitResult::kReady}; }
+  Wait writable_by(Seconds time) { return {*this, write_direction_, time, WaitResult::kReady}; }
 
-  // Called once when the other side has closed or reset the connection; see Socket.
-  void on_peer_closed(Callback what) { on_peer_closed_ = std::move(what); }
+  // Calls the callback once when the peer has closed or reset the connection; see Socket::on_peer_closed.
+  void on_peer_closed(Callback callback) { on_peer_closed_ = std::move(callback); }
 
-  // Whoever waits is woken with kClosed, and nobody can wait any more.
+  // Wakes the waiting coroutines with kClosed; every later wait ends at once with kClosed.
   void close();
 
  private:
   friend class Scheduler;
-  void wake(Side& side, WaitResult result);
-  void peer_closed() noexcept;
+  void wake(Direction& direction, WaitResult result);
+  void notify_peer_closed() noexcept;
 
   Scheduler& scheduler_;
   int descriptor_;
   bool closed_ = false;
-  Side reading_, writing_;
+  Direction read_direction_, write_direction_;
   Callback on_peer_closed_;
 };
 
--- a/src/transport/signal.hpp
+++ b/src/transport/signal.hpp
@@ -1,4 +1,4 @@
-// Lets one coroutine wait until another says that something has changed.
+// Lets one coroutine wait until another one notifies it. A notification while no coroutine waits is lost.
 #pragma once
 
 #include <coroutine>
--- a/src/transport/signals.cpp
+++ b/src/transport/signals.cpp
@@ -9,10 +9,10 @@
 
 namespace hareramp::transport {
 
-SignalSet::SignalSet(Scheduler& scheduler, std::initializer_list<int> which) {
+SignalSet::SignalSet(Scheduler& scheduler, std::initializer_list<int> signals) {
   sigset_t set;
   sigemptyset(&set);
-  for (const int one : which) sigaddset(&set, one);
+  for (const int number : signals) sigaddset(&set, number);
   sigprocmask(SIG_BLOCK, &set, nullptr);
   descriptor_ = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
   if (descriptor_ < 0) throw std::system_error(errno, std::generic_category(), "signalfd");
@@ -29,8 +29,8 @@
     signalfd_siginfo info;
     if (::read(descriptor_, &info, sizeof info) == static_cast<ssize_t>(sizeof info))
       co_return static_cast<int>(info.ssi_signo);
-    const WaitResult wake = co_await watch_->readable(kNever);
-    if (wake == WaitResult::kClosed) co_return 0;
+    const WaitResult result = co_await watch_->readable(kNever);
+    if (result == WaitResult::kClosed) co_return 0;
   }
 }
 
--- a/src/transport/signals.hpp
+++ b/src/transport/signals.hpp
@@ -1,4 +1,4 @@
-// Signals of the system, read in turn with everything else.
+// POSIX signals, read by a coroutine in the event loop (signalfd).
 #pragma once
 
 #include <initializer_list>
@@ -11,12 +11,13 @@
 
 class SignalSet {
  public:
-  // From now on these come here and nowhere else.
-  SignalSet(Scheduler& scheduler, std::initializer_list<int> which);
+  // Blocks these signals for the process; from now on they are only delivered here. Throws std::system_error.
+  SignalSet(Scheduler& scheduler, std::initializer_list<int> signals);
   ~SignalSet();
   SignalSet(const SignalSet&) = delete;
   SignalSet& operator=(const SignalSet&) = delete;
 
+  // The number of the next signal; 0 once the set is closed.
   Task<int> next();
 
  private:
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -17,18 +17,22 @@
 namespace hareramp::transport {
 
 namespace {
-constexpr int kGoneInARow = 64;  // connections that ended before they were accepted, taken in one turn
+// Errors of single connections that one call of accept() skips before it returns a failure: an error that
+// persists must not keep the loop busy.
+constexpr int kMaxConnectionErrors = 64;
 
-constexpr Seconds kMemoryRetry = 0.01;  // to the next try of a call for which the kernel had no memory
+// Delay before a system call that failed because the kernel had no memory is repeated.
+constexpr Seconds kMemoryRetryDelay = 0.01;
 
 bool would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
-// The kernel had no memory for the call; the connection stands.
+// The kernel had no memory for the call; the connection is intact.
 bool lacks_memory(int error) { return error == ENOBUFS || error == ENOMEM; }
 
-// Errors that accept4 passes on from the one connection that it would have taken (accept(2), "Error
-// handling"), a firewall's refusal of it, and signals: the next connection may be taken at once.
-bool is_of_one_connection(int error) {
+// Errors that accept4 passes on from the one connection that it would have accepted (accept(2), "Error
+// handling"), its rejection by a firewall, and interruption by a signal: the next connection may be accepted
+// at once.
+bool concerns_one_connection(int error) {
   switch (error) {
     case ECONNABORTED:
     case EINTR:
@@ -48,8 +52,8 @@
   }
 }
 
-// Errors of a connect that arise on this machine, before anything could reach the other side (connect(2)).
-bool is_local(int error) {
+// Errors of connect that occur on this machine, before anything could reach the peer (connect(2)).
+bool is_local_error(int error) {
   switch (error) {
     case EADDRNOTAVAIL:  // no local port is free
     case EAGAIN:
@@ -96,14 +100,14 @@
   return address;
 }
 
-std::optional<Address> Address::ask(Asked asked, int descriptor) {
+std::optional<Address> Address::query(AddressQuery call, int descriptor) {
   Address address;
   socklen_t size = sizeof address.raw_;
-  if (asked(descriptor, reinterpret_cast<sockaddr*>(&address.raw_), &size) != 0) return {};
+  if (call(descriptor, reinterpret_cast<sockaddr*>(&address.raw_), &size) != 0) return {};
   return address;
 }
-std::optional<Address> Address::own(int descriptor) { return ask(::getsockname, descriptor); }
-std::optional<Address> Address::peer(int descriptor) { return ask(::getpeername, descriptor); }
+std::optional<Address> Address::own(int descriptor) { return query(::getsockname, descriptor); }
+std::optional<Address> Address::peer(int descriptor) { return query(::getpeername, descriptor); }
 
 std::span<const std::uint8_t> Address::bytes() const {
   if (family() == AF_INET6) return raw_.v6.sin6_addr.s6_addr;
@@ -152,7 +156,7 @@
   if (descriptor_ < 0) return;
   if (observer_) observer_->on_closing(descriptor_);
   observer_.reset();
-  watch_->close();  // stays until the waiters have run
+  watch_->close();  // the watch itself lives on until the waiting coroutines have run
   ::close(std::exchange(descriptor_, -1));
 }
 
@@ -168,9 +172,9 @@
 }
 
 std::size_t Socket::unacknowledged() const {
-  int waiting = 0;
-  if (descriptor_ < 0 || ioctl(descriptor_, SIOCOUTQ, &waiting) != 0 || waiting < 0) return 0;
-  return static_cast<std::size_t>(waiting);
+  int queued = 0;
+  if (descriptor_ < 0 || ioctl(descriptor_, SIOCOUTQ, &queued) != 0 || queued < 0) return 0;
+  return static_cast<std::size_t>(queued);
 }
 
 void Socket::shutdown_write() {
@@ -179,30 +183,30 @@
 
 void Socket::abort() {
   if (descriptor_ < 0) return;
-  const linger at_once{1, 0};
-  setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  const linger reset_on_close{1, 0};
+  setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
   close();
 }
 
-Task<IoResult> Socket::read(Buffer& into, std::size_t least_room, Seconds until) {
+Task<IoResult> Socket::read(Buffer& buffer, std::size_t min_space, Seconds until) {
   for (;;) {
     if (descriptor_ < 0) co_return IoResult{IoStatus::kClosed, 0};
-    const auto room = into.prepare(least_room);
-    const ssize_t count = ::recv(descriptor_, room.data(), room.size(), 0);
+    const auto space = buffer.prepare(min_space);
+    const ssize_t count = ::recv(descriptor_, space.data(), space.size(), 0);
     if (count > 0) {
-      into.commit(static_cast<std::size_t>(count));
+      buffer.commit(static_cast<std::size_t>(count));
       if (observer_) observer_->on_read(static_cast<std::size_t>(count));
       co_return IoResult{IoStatus::kOk, static_cast<std::size_t>(count)};
     }
     if (count == 0) co_return IoResult{IoStatus::kEndOfStream, 0};
     if (errno == EINTR) continue;
-    const Seconds retry_at = lacks_memory(errno) ? Scheduler::now() + kMemoryRetry : kNever;
+    const Seconds retry_at = lacks_memory(errno) ? Scheduler::now() + kMemoryRetryDelay : kNever;
     if (!would_block(errno) && retry_at == kNever) co_return IoResult{IoStatus::kBroken, 0};
-    into.release();
-    const WaitResult wake =
+    buffer.release();
+    const WaitResult result =
         co_await (retry_at < until ? watch_->readable_by(retry_at) : watch_->readable(until));
-    if (wake == WaitResult::kTimedOut) co_return IoResult{IoStatus::kTimedOut, 0};
-    if (wake == WaitResult::kClosed) co_return IoResult{IoStatus::kClosed, 0};
+    if (result == WaitResult::kTimedOut) co_return IoResult{IoStatus::kTimedOut, 0};
+    if (result == WaitResult::kClosed) co_return IoResult{IoStatus::kClosed, 0};
   }
 }
 
@@ -224,7 +228,7 @@
 }
 
 Watch::Wait Socket::writable(Seconds until) {
-  const Seconds retry_at = Scheduler::now() + kMemoryRetry;
+  const Seconds retry_at = Scheduler::now() + kMemoryRetryDelay;
   return send_lacked_memory_ && retry_at < until ? watch_->writable_by(retry_at) : watch_->writable(until);
 }
 
@@ -234,9 +238,9 @@
     const IoResult io = write_now(bytes.substr(written));
     written += io.bytes;
     if (io.status != IoStatus::kTimedOut) co_return IoResult{io.status, written};
-    const WaitResult wake = co_await writable(until);
-    if (wake == WaitResult::kTimedOut) co_return IoResult{IoStatus::kTimedOut, written};
-    if (wake == WaitResult::kClosed) co_return IoResult{IoStatus::kClosed, written};
+    const WaitResult result = co_await writable(until);
+    if (result == WaitResult::kTimedOut) co_return IoResult{IoStatus::kTimedOut, written};
+    if (result == WaitResult::kClosed) co_return IoResult{IoStatus::kClosed, written};
   }
 }
 
@@ -264,20 +268,20 @@
   }
   if (errno != EINPROGRESS && errno != EINTR) {
     connected.error = errno;
-    connected.status = is_local(errno) ? ConnectStatus::kLocalFailure : ConnectStatus::kRefused;
+    connected.status = is_local_error(errno) ? ConnectStatus::kLocalFailure : ConnectStatus::kRefused;
     co_return connected;
   }
   connected.status = ConnectStatus::kRefused;
   for (;;) {
-    const WaitResult wake = co_await connected.socket.watch_->writable(until);
-    if (wake == WaitResult::kTimedOut) connected.status = ConnectStatus::kTimedOut;
-    if (wake != WaitResult::kReady) co_return connected;
+    const WaitResult result = co_await connected.socket.watch_->writable(until);
+    if (result == WaitResult::kTimedOut) connected.status = ConnectStatus::kTimedOut;
+    if (result != WaitResult::kReady) co_return connected;
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &error, &size);
     connected.error = error;
     if (error == ECONNRESET) connected.status = ConnectStatus::kReset;
-    if (is_local(error)) connected.status = ConnectStatus::kLocalFailure;
+    if (is_local_error(error)) connected.status = ConnectStatus::kLocalFailure;
     if (error != 0) co_return connected;
     if (Address::peer(descriptor)) break;
   }
@@ -285,48 +289,48 @@
   co_return connected;
 }
 
-Listener::Listener(Scheduler& scheduler, const Address& at, int backlog) : scheduler_(scheduler) {
-  const int descriptor = ::socket(at.family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+Listener::Listener(Scheduler& scheduler, const Address& address, int backlog) : scheduler_(scheduler) {
+  const int descriptor = ::socket(address.family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (descriptor < 0) throw std::system_error(errno, std::generic_category(), "socket");
   socket_ = Socket(scheduler, descriptor);
   const int on = 1;
   setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (::bind(descriptor, at.raw(), at.size()) != 0)
-    throw std::system_error(errno, std::generic_category(), "can't listen at " + at.text());
+  if (::bind(descriptor, address.raw(), address.size()) != 0)
+    throw std::system_error(errno, std::generic_category(), "can't listen at " + address.text());
   if (::listen(descriptor, backlog) != 0)
-    throw std::system_error(errno, std::generic_category(), "can't listen at " + at.text());
+    throw std::system_error(errno, std::generic_category(), "can't listen at " + address.text());
 }
 
 Task<Listener::AcceptResult> Listener::accept() {
   AcceptResult accepted;
-  for (int gone = 0;;) {
+  for (int connection_errors = 0;;) {
     if (!socket_.open()) co_return accepted;
-    if (unwatched_ < 0)
-      unwatched_ = ::accept4(socket_.descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (unwatched_ >= 0) co_return watch_unwatched();
-    if (is_of_one_connection(errno) && ++gone < kGoneInARow) continue;  // what persists must not spin
+    if (pending_ < 0)
+      pending_ = ::accept4(socket_.descriptor_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (pending_ >= 0) co_return watch_pending();
+    if (concerns_one_connection(errno) && ++connection_errors < kMaxConnectionErrors) continue;
     if (!would_block(errno)) {
       accepted.error = errno;
       accepted.status = errno == EMFILE ? Status::kDescriptorLimit : Status::kTransientFailure;
       co_return accepted;
     }
-    const WaitResult wake = co_await socket_.watch_->readable(kNever);
-    if (wake == WaitResult::kClosed) co_return accepted;
+    const WaitResult result = co_await socket_.watch_->readable(kNever);
+    if (result == WaitResult::kClosed) co_return accepted;
   }
 }
 
-// Guards against a kernel that has no room for another watch (ENOMEM, ENOSPC): closed here, the connection's
-// client would be lost. Those behind it wait in the backlog until it can be watched.
-Listener::AcceptResult Listener::watch_unwatched() {
+// Keeps an accepted connection if epoll has no memory or no free watch for it (ENOMEM, ENOSPC): closing it
+// here would lose its client. The connections behind it wait in the backlog until it can be watched.
+Listener::AcceptResult Listener::watch_pending() {
   AcceptResult accepted;
   try {
-    accepted.socket.watch_ = std::make_unique<Watch>(scheduler_, unwatched_);
+    accepted.socket.watch_ = std::make_unique<Watch>(scheduler_, pending_);
   } catch (const std::system_error& error) {
     accepted.status = Status::kTransientFailure;
     accepted.error = error.code().value();
     return accepted;
   }
-  accepted.socket.descriptor_ = std::exchange(unwatched_, -1);
+  accepted.socket.descriptor_ = std::exchange(pending_, -1);
   accepted.status = Status::kAccepted;
   const int on = 1;
   setsockopt(accepted.socket.descriptor_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -335,7 +339,7 @@
 
 void Listener::close() {
   socket_.close();
-  if (unwatched_ >= 0) ::close(std::exchange(unwatched_, -1));
+  if (pending_ >= 0) ::close(std::exchange(pending_, -1));
 }
 
 Listener::~Listener() { close(); }
@@ -344,12 +348,12 @@
 
 namespace {
 Socket datagram_socket(Scheduler& scheduler, const Address& address,
-                       int (*use)(int, const sockaddr*, socklen_t), const char* what) {
+                       int (*bind_or_connect)(int, const sockaddr*, socklen_t), const char* error_text) {
   const int descriptor = ::socket(address.family(), SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (descriptor < 0) throw std::system_error(errno, std::generic_category(), "socket");
   Socket socket(scheduler, descriptor);
-  if (use(descriptor, address.raw(), address.size()) != 0)
-    throw std::system_error(errno, std::generic_category(), what + address.text());
+  if (bind_or_connect(descriptor, address.raw(), address.size()) != 0)
+    throw std::system_error(errno, std::generic_category(), error_text + address.text());
   return socket;
 }
 }  // namespace
@@ -371,23 +375,23 @@
   }
 }
 
-Task<DatagramSocket::ReceiveResult> DatagramSocket::receive(std::span<char> room, Seconds until) {
+Task<DatagramSocket::ReceiveResult> DatagramSocket::receive(std::span<char> buffer, Seconds until) {
   for (;;) {
-    ReceiveResult got;
-    if (!socket_.open()) co_return got;
+    ReceiveResult result;
+    if (!socket_.open()) co_return result;
     sockaddr_storage from{};
     socklen_t size = sizeof from;
-    const ssize_t count = ::recvfrom(socket_.descriptor_, room.data(), room.size(), 0,
+    const ssize_t count = ::recvfrom(socket_.descriptor_, buffer.data(), buffer.size(), 0,
                                      reinterpret_cast<sockaddr*>(&from), &size);
     if (count >= 0) {
-      got.ok = true;
-      got.bytes = static_cast<std::size_t>(count);
-      got.from = Address::of(reinterpret_cast<const sockaddr*>(&from), size);
-      co_return got;
+      result.ok = true;
+      result.bytes = static_cast<std::size_t>(count);
+      result.from = Address::of(reinterpret_cast<const sockaddr*>(&from), size);
+      co_return result;
     }
     if (errno == EINTR) continue;
-    if (!would_block(errno)) co_return got;
-    if (co_await socket_.watch_->readable(until) != WaitResult::kReady) co_return got;
+    if (!would_block(errno)) co_return result;
+    if (co_await socket_.watch_->readable(until) != WaitResult::kReady) co_return result;
   }
 }
 
--- a/src/transport/socket.hpp
+++ b/src/transport/socket.hpp
@@ -1,4 +1,4 @@
-// TCP and UDP sockets for coroutines, over IPv4 and IPv6. Every wait has a time at which it ends.
+// TCP and UDP sockets for coroutines, over IPv4 and IPv6. Every wait has a deadline.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,11 +17,11 @@
 
 namespace hareramp::transport {
 
-// An address with its port, as in 127.0.0.1:80 or [::1]:80.
+// An IP address with a port, as in 127.0.0.1:80 or [::1]:80.
 class Address {
  public:
   static std::optional<Address> parse(std::string_view text);
-  // As the system tells it of a socket's own side or of the other one; none if it has neither.
+  // The local and the remote address of a socket (getsockname, getpeername); nothing if it has none.
   static std::optional<Address> own(int descriptor);
   static std::optional<Address> peer(int descriptor);
 
@@ -37,8 +37,8 @@
   bool operator==(const Address& other) const;
 
  private:
-  using Asked = int (*)(int, sockaddr*, socklen_t*);
-  static std::optional<Address> ask(Asked asked, int descriptor);
+  using AddressQuery = int (*)(int, sockaddr*, socklen_t*);
+  static std::optional<Address> query(AddressQuery call, int descriptor);
   union Raw {
     sockaddr_in v4;
     sockaddr_in6 v6;
@@ -46,28 +46,30 @@
   Raw raw_{};
 };
 
-// Told of what a socket moves, where somebody counts it. Lives with the socket.
+// Is notified of the bytes that a socket reads and writes, for counting. The socket owns it.
 class SocketObserver {
  public:
   virtual ~SocketObserver() = default;
   virtual void on_read(std::size_t bytes) = 0;
   virtual void on_written(std::size_t bytes) = 0;
-  // The descriptor is still open: the last look at what the kernel counted.
+  // Called before the socket closes its descriptor: the last chance to read the kernel's counters.
   virtual void on_closing(int descriptor) = 0;
 };
 
+// kEndOfStream: the peer has closed its sending side. kBroken: the connection failed. kClosed: this side has
+// closed the socket.
 enum class IoStatus { kOk, kEndOfStream, kBroken, kTimedOut, kClosed };
 
 struct IoResult {
   IoStatus status = IoStatus::kOk;
-  std::size_t bytes = 0;  // how many moved, also where it did not end well
+  std::size_t bytes = 0;  // bytes read or written, also if the status is not kOk
   bool ok() const { return status == IoStatus::kOk; }
 };
 
 class Socket {
  public:
   Socket() = default;
-  Socket(Scheduler& scheduler, int descriptor);  // takes the descriptor over
+  Socket(Scheduler& scheduler, int descriptor);  // takes ownership of the descriptor
   Socket(Socket&& other) noexcept;
   Socket& operator=(Socket&& other) noexcept;
   ~Socket();
@@ -76,29 +78,30 @@
   int descriptor() const { return descriptor_; }
   void observe(std::unique_ptr<SocketObserver> observer) { observer_ = std::move(observer); }
   SocketObserver* observer() const { return observer_.get(); }
-  // At most about so many bytes wait in the kernel to be sent; more makes a write wait.
+  // Limits the bytes queued in the kernel for sending to about this many; a write of more than that waits.
   void limit_send_buffer(std::size_t bytes);
-  // Bytes written that the other side's kernel has not acknowledged.
+  // Bytes written that the peer's kernel has not acknowledged.
   std::size_t unacknowledged() const;
-  // One read, of whatever is there, behind what the buffer holds.
-  Task<IoResult> read(Buffer& into, std::size_t least_room, Seconds until);
-  // All of it, unless the connection ends or the time comes.
+  // One read of the data available, appended to the buffer; it provides space for min_space bytes.
+  Task<IoResult> read(Buffer& buffer, std::size_t min_space, Seconds until);
+  // Writes all bytes, unless the connection ends or the deadline passes.
   Task<IoResult> write(std::string_view bytes, Seconds until);
-  // As much as goes without waiting; kTimedOut says that the rest must wait for writable(), also where the
-  // kernel had no memory for it (ENOBUFS, ENOMEM): the connection stands.
+  // Writes as much as possible without waiting. kTimedOut: await writable() before writing the rest; also if
+  // the kernel had no memory (ENOBUFS, ENOMEM), as the connection is still intact.
   IoResult write_now(std::string_view bytes);
   Watch::Wait writable(Seconds until);
-  // The other side has closed or reset it: bytes written now would be lost.
+  // True if the peer has closed or reset the connection: bytes written now would be lost.
   bool closed_by_peer() const;
-  // Calls once, as soon as the other side has closed its sending side or has reset the connection, also while
-  // bytes that it sent before are unread. Called from within the scheduler's wait, before any coroutine that
-  // the same wait woke; may close this socket.
-  void on_peer_closed(Callback what) { watch_->on_peer_closed(std::move(what)); }
-  // Nothing more will be written; what was is still delivered.
+  // Calls the callback once, as soon as the peer has closed its sending side or reset the connection, also
+  // while bytes that it sent before are unread. The call comes from the scheduler's wait for sockets, before
+  // any coroutine that the same wait woke; it may close this socket.
+  void on_peer_closed(Callback callback) { watch_->on_peer_closed(std::move(callback)); }
+  // Closes the sending side; bytes already written are still delivered.
   void shutdown_write();
-  // Bytes that come no more are thrown away, and whoever waits is woken.
+  // Closes the connection and wakes the waiting coroutines with kClosed. Data that arrives later is
+  // discarded.
   void close();
-  // The other side is told by a reset that what it got is not whole.
+  // Closes the connection with a reset, so that the peer knows that the data it received is incomplete.
   void abort();
 
  private:
@@ -109,36 +112,36 @@
   int descriptor_ = -1;
   std::unique_ptr<Watch> watch_;
   std::unique_ptr<SocketObserver> observer_;
-  bool send_lacked_memory_ = false;  // the last send did
+  bool send_lacked_memory_ = false;  // the last send failed with ENOBUFS or ENOMEM
 };
 
-// kReset: it came up, and the other side ended it at once.
-// kLocalFailure: our own side could not even ask (no descriptor, no memory, no port, no network); this says
-// nothing of the other side.
+// kReset: the connection was established and the peer reset it at once.
+// kLocalFailure: the attempt failed on this machine (no descriptor, no memory, no port, no network); this
+// says nothing about the peer.
 enum class ConnectStatus { kConnected, kRefused, kReset, kTimedOut, kLocalFailure };
 
 struct ConnectResult {
   ConnectStatus status = ConnectStatus::kRefused;
-  int error = 0;  // errno of the call that failed; 0 where none did
+  int error = 0;  // errno of the call that failed, or 0
   Socket socket;
 };
-// from, where it is given, is the address of our own side; port 0 takes any.
+// `from`, if not null, is the local address to bind to; with port 0 the system chooses the port.
 Task<ConnectResult> connect(Scheduler& scheduler, Address to, Seconds until, const Address* from = nullptr);
 
 class Listener {
  public:
-  Listener(Scheduler& scheduler, const Address& at, int backlog);  // throws std::system_error
+  Listener(Scheduler& scheduler, const Address& address, int backlog);  // throws std::system_error
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // kDescriptorLimit: this process has no descriptor left, which closing one of its own mends.
-  // kTransientFailure: the system could not for now (its table is full, no memory, the network is down); the
-  // caller tries again after a pause.
+  // kDescriptorLimit: this process has no file descriptor left; closing one of its own helps.
+  // kTransientFailure: the system could not accept for now (its file table is full, no memory, the network is
+  // down); the caller retries after a delay.
   enum class Status { kAccepted, kDescriptorLimit, kTransientFailure, kClosed };
   struct AcceptResult {
     Status status = Status::kClosed;
-    int error = 0;  // errno, where it was not taken
+    int error = 0;  // errno, if no connection was accepted
     Socket socket;
   };
   Task<AcceptResult> accept();
@@ -146,30 +149,31 @@
   void close();
 
  private:
-  AcceptResult watch_unwatched();
+  AcceptResult watch_pending();
 
   Scheduler& scheduler_;
   Socket socket_;
-  int unwatched_ = -1;  // a connection that is accepted and not yet watched; the next accept tries again
+  int pending_ = -1;  // an accepted connection that epoll could not watch yet; the next accept() retries
 };
 
-// A UDP socket: one that sends to a single address, or one that takes what comes to its own.
+// A UDP socket: it either sends to one address or receives at its own.
 class DatagramSocket {
  public:
-  // Throw std::system_error.
+  // Both throw std::system_error.
   static DatagramSocket connected_to(Scheduler& scheduler, const Address& address);
   static DatagramSocket bound_to(Scheduler& scheduler, const Address& address);
 
   enum class SendStatus { kSent, kWouldBlock, kRefused, kTooLong, kFailed };
-  // One datagram, or none of it. kRefused: nobody listens there, told of one sent before.
+  // Sends one datagram whole or not at all. kWouldBlock: the send buffer is full or the kernel has no memory.
+  // kRefused: no socket listens at the address; the error belongs to a datagram sent before.
   SendStatus send_now(std::string_view bytes);
   struct ReceiveResult {
     bool ok = false;
     std::size_t bytes = 0;
     Address from;
   };
-  // The next datagram; what does not fit into the room is cut off and lost.
-  Task<ReceiveResult> receive(std::span<char> room, Seconds until);
+  // The next datagram; what does not fit into the buffer is discarded.
+  Task<ReceiveResult> receive(std::span<char> buffer, Seconds until);
   Address address() const { return *Address::own(socket_.descriptor()); }
   bool open() const { return socket_.open(); }
   void close() { socket_.close(); }
--- a/src/transport/task.hpp
+++ b/src/transport/task.hpp
@@ -1,5 +1,5 @@
-// A coroutine that starts when it is awaited (or spawned on the scheduler) and hands its result, or the
-// exception that ended it, to whoever awaits it. The Task owns the coroutine's frame.
+// A lazy coroutine: it starts when it is awaited (or spawned on the scheduler) and returns its result to the
+// awaiting coroutine, or rethrows there the exception that ended it. The Task owns the coroutine frame.
 #pragma once
 
 #include <coroutine>
@@ -18,11 +18,12 @@
 struct PromiseBase {
   std::coroutine_handle<> awaiting;
   std::exception_ptr failure;
-  // Of a spawned task: its place with the scheduler, and the list of those at their end, to be cleared away.
-  std::size_t place = 0;
+  // For a spawned task: its index in the scheduler's list of tasks, and the scheduler's linked list of
+  // finished tasks, whose frames are destroyed later.
+  std::size_t index = 0;
   PromiseBase **done = nullptr, *next_done = nullptr;
 
-  struct Final {
+  struct FinalAwaiter {
     bool await_ready() const noexcept { return false; }
     template <class Promise>
     std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> self) noexcept {
@@ -33,7 +34,7 @@
     void await_resume() const noexcept {}
   };
   std::suspend_always initial_suspend() const noexcept { return {}; }
-  Final final_suspend() const noexcept { return {}; }
+  FinalAwaiter final_suspend() const noexcept { return {}; }
   void unhandled_exception() noexcept { failure = std::current_exception(); }
 };
 
@@ -41,8 +42,8 @@
 struct Promise : PromiseBase {
   std::optional<Value> value;
   Task<Value> get_return_object();
-  void return_value(Value given) { value.emplace(std::move(given)); }
-  Value take() {
+  void return_value(Value returned) { value.emplace(std::move(returned)); }
+  Value result() {
     if (failure) std::rethrow_exception(failure);
     return std::move(*value);
   }
@@ -52,7 +53,7 @@
 struct Promise<void> : PromiseBase {
   Task<void> get_return_object();
   void return_void() const noexcept {}
-  void take() const {
+  void result() const {
     if (failure) std::rethrow_exception(failure);
   }
 };
@@ -83,7 +84,7 @@
     handle_.promise().awaiting = awaiting;
     return handle_;
   }
-  Value await_resume() { return handle_.promise().take(); }
+  Value await_resume() { return handle_.promise().result(); }
 
  private:
   Handle handle_;
--- a/src/transport/tcp_counts.cpp
+++ b/src/transport/tcp_counts.cpp
@@ -1,6 +1,6 @@
 #include "transport/tcp_counts.hpp"
 
-#include <linux/tcp.h>  // the C library's own header lacks the newer fields, and can't stand beside this one
+#include <linux/tcp.h>  // the C library's header lacks the newer fields and conflicts with this one
 #include <netinet/in.h>
 #include <sys/socket.h>
 
--- a/src/transport/tcp_counts.hpp
+++ b/src/transport/tcp_counts.hpp
@@ -1,4 +1,4 @@
-// What the kernel has counted of a TCP connection since it came up (TCP_INFO, tcp(7)).
+// The kernel's counters of a TCP connection since it was established (TCP_INFO, tcp(7)).
 #pragma once
 
 #include <cstdint>
@@ -7,12 +7,12 @@
 namespace hareramp::transport {
 
 struct TcpCounts {
-  std::uint64_t segments_out = 0, segments_in = 0;  // all of them, handshake and acknowledgements included
-  std::uint64_t bytes_out = 0;                      // of payload, repeats included
-  std::uint64_t bytes_in = 0;                       // of payload, each once
+  std::uint64_t segments_out = 0, segments_in = 0;  // including handshake and acknowledgements
+  std::uint64_t bytes_out = 0;                      // payload, including retransmissions
+  std::uint64_t bytes_in = 0;                       // payload, without retransmissions
 };
 
-// Nothing if the descriptor is no TCP connection.
+// Nothing if the descriptor is not a TCP connection.
 std::optional<TcpCounts> tcp_counts(int descriptor);
 
 }  // namespace hareramp::transport
--- a/tests/base/networks_test.cpp
+++ b/tests/base/networks_test.cpp
@@ -1,4 +1,4 @@
-// Networks of depots by longest prefix, both families, and what is refused.
+// The table of networks: longest-prefix match for IPv4 and IPv6, and malformed or duplicate prefixes.
 #include "base/networks.hpp"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 }
 }  // namespace
 
-TEST_CASE("the longest prefix counts, for both families") {
+TEST_CASE("find() returns the longest matching prefix, for IPv4 and IPv6") {
   Networks networks;
   for (const auto& [prefix, name] : {std::pair("10.0.0.0/8", "all"),
                                      {"10.1.0.0/16", "north"},
@@ -37,13 +37,13 @@
   CHECK(find(all, "::1") == "-");
 }
 
-TEST_CASE("slips in networks are refused with a reason") {
+TEST_CASE("malformed and duplicate prefixes are rejected with a reason") {
   Networks networks;
   CHECK_FALSE(networks.add("10.1.0.0/16", "a"));
   CHECK(networks.add("10.1.0.0/16", "b").value().find("twice") != std::string::npos);
   CHECK(networks.add("10.1.0.1/16", "b").value().find("the network is 10.1.0.0/16") != std::string::npos);
-  for (const char* bad :
+  for (const char* malformed :
        {"", "10.1.0.0", "10.1.0.0/33", "10.1/16", "2001:db8::/129", "host/8", "10.1.0.0/-1"})
-    CHECK(networks.add(bad, "b").has_value());
+    CHECK(networks.add(malformed, "b").has_value());
   CHECK(networks.size() == 1);
 }
