--- a/src/protocol/content_coding.hpp
+++ b/src/protocol/content_coding.hpp
@@ -1,4 +1,5 @@
-// The content coding gzip (RFC 9110, 8.4.1.3; RFC 1952) by zlib: whole members out, a stream of members in.
+// The gzip content coding (RFC 9110, 8.4.1.3; RFC 1952), by zlib: encodes complete members and decodes a
+// stream of members.
 #pragma once
 
 #include <cstddef>
@@ -9,10 +10,10 @@
 
 namespace hareramp::protocol {
 
-// One gzip member that holds all of it. Throws std::bad_alloc.
+// Encodes the bytes as one gzip member. Throws std::bad_alloc.
 std::string gzip(std::string_view bytes);
 
-// Decodes one member after another as the bytes come.
+// Decodes a stream of gzip members incrementally.
 class GzipDecoder {
  public:
   GzipDecoder();  // throws std::bad_alloc
@@ -20,9 +21,9 @@
   GzipDecoder(const GzipDecoder&) = delete;
   GzipDecoder& operator=(const GzipDecoder&) = delete;
 
-  // Hands what has been decoded on in pieces of a few KB. False: the bytes are no gzip, or the taker answered
-  // false; nothing more can be decoded then.
-  bool feed(std::string_view bytes, const std::function<bool(std::string_view piece)>& take);
+  // Decodes the bytes and passes the result to the consumer in chunks of a few KB. False: the bytes are not
+  // gzip or the consumer returned false; nothing more can be decoded then.
+  bool feed(std::string_view bytes, const std::function<bool(std::string_view chunk)>& consumer);
 
  private:
   struct State;
--- a/src/protocol/events.cpp
+++ b/src/protocol/events.cpp
@@ -9,12 +9,13 @@
 namespace hareramp::protocol {
 
 namespace {
-constexpr std::array<std::string_view, 8> kEntry = {"id",   "addr",  "zone",   "kind",
-                                                    "cell", "state", "weight", "started_ms"};
-constexpr std::array<std::string_view, 3> kFleet = {"version", "full", "servers"};
-constexpr std::array<std::string_view, 3> kPurge = {"object", "bucket", "time"};
+constexpr std::array<std::string_view, 8> kEntryFields = {"id",   "addr",  "zone",   "kind",
+                                                          "cell", "state", "weight", "started_ms"};
+constexpr std::array<std::string_view, 3> kFleetFields = {"version", "full", "servers"};
+constexpr std::array<std::string_view, 3> kPurgeFields = {"object", "bucket", "time"};
 
-void look_through(const Json& value, std::span<const std::string_view> known, ChangeHandler& handler) {
+void report_unknown_fields(const Json& value, std::span<const std::string_view> known,
+                           ChangeHandler& handler) {
   for (const auto& member : value.members())
     if (std::find(known.begin(), known.end(), member.first) == known.end())
       handler.unknown_field(member.first);
@@ -25,32 +26,32 @@
                                                       {"left", EndpointState::kRemoved}};
 }  // namespace
 
-bool EventParser::feed(std::string_view piece, EventHandler& handler) {
-  for (const char c : piece) {
-    const bool second_half = after_cr_ && c == '\n';
+bool EventParser::feed(std::string_view input, EventHandler& handler) {
+  for (const char c : input) {
+    const bool is_lf_of_crlf = after_cr_ && c == '\n';
     after_cr_ = c == '\r';
-    if (second_half) continue;
+    if (is_lf_of_crlf) continue;
     if (c == '\r' || c == '\n') {
-      line(handler);
+      end_line(handler);
       continue;
     }
     line_ += c;
-    if (line_.size() + data_.size() > most_bytes_) return false;
+    if (line_.size() + data_.size() > max_event_bytes_) return false;
   }
   return true;
 }
 
-void EventParser::line(EventHandler& handler) {
+void EventParser::end_line(EventHandler& handler) {
   if (line_.empty()) {
     if (has_data_) handler.event(id_, data_);
     data_.clear();
     has_data_ = false;
     return;
   }
-  const std::string_view whole = line_;
-  const auto colon = whole.find(':');
-  const std::string_view name = whole.substr(0, colon);
-  std::string_view value = colon == std::string_view::npos ? std::string_view() : whole.substr(colon + 1);
+  const std::string_view line = line_;
+  const auto colon = line.find(':');
+  const std::string_view name = line.substr(0, colon);
+  std::string_view value = colon == std::string_view::npos ? std::string_view() : line.substr(colon + 1);
   if (value.starts_with(' ')) value.remove_prefix(1);
   if (name == "data") {
     if (has_data_) data_ += '\n';
@@ -71,10 +72,10 @@
 void read_change(const Json& change, ChangeHandler& handler) {
   for (const auto& [name, value] : change.members()) {
     if (name == "fleet") {
-      look_through(value, kFleet, handler);
+      report_unknown_fields(value, kFleetFields, handler);
       handler.list_starts(value["full"].boolean());
       for (const Json& entry : value["servers"].items()) {
-        look_through(entry, kEntry, handler);
+        report_unknown_fields(entry, kEntryFields, handler);
         const auto state = kStates.find(entry["state"].text());
         if (entry["id"].text().empty() || state == kStates.end()) {
           handler.skipped("list entry " + entry["id"].text() + " in state '" + entry["state"].text() + "'");
@@ -86,7 +87,7 @@
       }
       handler.list_ends();
     } else if (name == "invalidate") {
-      look_through(value, kPurge, handler);
+      report_unknown_fields(value, kPurgeFields, handler);
       const double at = value["time"].number(0);
       ObjectId object;
       if (const auto bucket = value["bucket"].integer()) {
@@ -94,10 +95,10 @@
       } else if (parse_object_id(value["object"].text(), object)) {
         handler.object_purged(object, at);
       } else {
-        handler.skipped("a purge of neither an object nor a group");
+        handler.skipped("a purge that names neither an object nor a group");
       }
     } else if (name != "seq") {
-      handler.skipped("an event '" + name + "'");
+      handler.skipped("an event of unknown kind '" + name + "'");
     }
   }
 }
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1: requests are parsed as they arrive, in pieces of any size, and answers are written. Also the
-// little that a client of the change log needs. No sockets here, no meaning either.
+// HTTP/1.1: an incremental parser of requests and responses, and the formatting of response heads. Responses
+// are parsed for the client of the change stream. No sockets here and no interpretation of the messages.
 #pragma once
 
 #include <cstddef>
@@ -9,14 +9,14 @@
 
 namespace hareramp::protocol {
 
-// Where decoded fields go, in the order of the message. Views last only for the call.
+// Receives the parts of a message, in their order. Views are valid only during the call.
 class HttpHandler {
  public:
   virtual ~HttpHandler() = default;
   // A request's method and target, or a response's status and reason.
   virtual void start_line(std::string_view first, std::string_view second) = 0;
   virtual void header(std::string_view name, std::string_view value) = 0;
-  virtual void body(std::string_view piece) = 0;
+  virtual void body(std::string_view chunk) = 0;
 };
 
 struct HttpLimits {
@@ -27,48 +27,53 @@
  public:
   enum class Message { kRequest, kResponse };
   enum class Step {
-    kMore,      // all usable bytes are taken; more are needed
-    kHead,      // the head has just ended, a body follows
-    kDone,      // a whole message; the next bytes belong to another
-    kBad,       // not HTTP as we read it: nothing that follows can be trusted
-    kTooLarge,  // over a bound, or a body whose length is not told
-    kUnknown    // a transfer coding or version that we do not speak
+    kMore,      // all complete parts of the input are consumed; more input is needed
+    kHead,      // the head has just ended and a body follows
+    kDone,      // the message is complete; the following bytes belong to the next one
+    kBad,       // malformed: nothing that follows on the connection can be trusted
+    kTooLarge,  // the head or the body exceeds its limit, also a chunked body of unknown length
+    kUnknown    // an unsupported transfer coding or version
   };
 
-  HttpParser(Message message, HttpLimits bounds) : message_(message), bounds_(bounds) {}
+  HttpParser(Message message, HttpLimits limits) : message_(message), limits_(limits) {}
 
-  // Reads on at the start of input and says in used how much of it is taken.
-  Step feed(std::string_view input, std::size_t& used, HttpHandler& handler);
+  // Continues to parse with the input; consumed is set to the number of bytes that the caller has to remove
+  // from its start before the next call.
+  Step feed(std::string_view input, std::size_t& consumed, HttpHandler& handler);
 
-  // Known once the head has ended.
+  // Both are valid once the head has ended.
   bool keeps_alive() const { return keeps_alive_; }
   bool expects_continue() const { return expects_continue_; }
-  // A message has begun and not ended.
+  // The parser is within a message's head, or before its first byte.
   bool in_head() const { return stage_ == Stage::kStart || stage_ == Stage::kHeaders; }
-  bool begun() const { return stage_ != Stage::kDone && (stage_ != Stage::kStart || in_head_); }
+  // A message has begun and not ended.
+  bool begun() const { return stage_ != Stage::kDone && (stage_ != Stage::kStart || head_begun_); }
 
  private:
   enum class Stage { kStart, kHeaders, kSized, kChunkSize, kChunk, kChunkEnd, kTrailers, kUntilEnd, kDone };
-  Step line(std::string_view text, HttpHandler& handler);
-  Step start(std::string_view text, HttpHandler& handler);
-  Step field(std::string_view text, HttpHandler& handler);
-  Step head_ends();
-  Step chunk_size(std::string_view text);
+  Step parse_line(std::string_view text, HttpHandler& handler);
+  Step parse_start_line(std::string_view text, HttpHandler& handler);
+  Step parse_header(std::string_view text, HttpHandler& handler);
+  Step end_head();
+  Step parse_chunk_size(std::string_view text);
   void reset();
 
   Message message_;
-  HttpLimits bounds_;
+  HttpLimits limits_;
   Stage stage_ = Stage::kStart;
-  std::size_t looked_ = 0, head_ = 0, left_ = 0, body_ = 0;
-  bool in_head_ = false, keeps_alive_ = true, expects_continue_ = false;
-  bool sized_ = false, chunked_ = false, has_host_ = false, old_ = false;
+  // searched_: bytes of an unfinished line already searched for its end. remaining_: bytes of the body or of
+  // the chunk still to come. chunked_bytes_: sum of the chunk sizes so far.
+  std::size_t searched_ = 0, head_bytes_ = 0, remaining_ = 0, chunked_bytes_ = 0;
+  bool head_begun_ = false, keeps_alive_ = true, expects_continue_ = false;
+  bool has_length_ = false, chunked_ = false, has_host_ = false, is_http_1_0_ = false;
 };
 
-// True if a comma-separated header value holds the word, whatever its case.
-bool has_token(std::string_view value, std::string_view word);
+// True if a comma-separated header value contains the token, ignoring case.
+bool has_token(std::string_view value, std::string_view token);
 bool equal_ignoring_case(std::string_view a, std::string_view b);
 
-// An answer's head; where more is not empty it holds further header lines, each with its CR LF.
-std::string http_response_head(int status, std::string_view more, std::size_t length, bool keep_alive);
+// Formats the head of a response. extra_headers holds further header lines, each with its CR LF, or is empty.
+std::string http_response_head(int status, std::string_view extra_headers, std::size_t length,
+                               bool keep_alive);
 
 }  // namespace hareramp::protocol
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -6,7 +6,7 @@
 namespace hareramp::protocol {
 
 namespace {
-constexpr int kDeepest = 32;  // levels: what we read has six
+constexpr int kMaxDepth = 32;  // levels of nesting; the texts that the director reads have six
 
 bool is_digit(char c) { return c >= '0' && c <= '9'; }
 
@@ -31,51 +31,51 @@
 
 class JsonReader {
  public:
-  explicit JsonReader(std::string_view text) : left_(text) {}
+  explicit JsonReader(std::string_view text) : rest_(text) {}
 
-  std::optional<Json> whole() {
+  std::optional<Json> read_document() {
     Json value;
     if (!read(value, 0)) return {};
     skip_space();
-    if (!left_.empty()) return {};
+    if (!rest_.empty()) return {};
     return value;
   }
 
  private:
   void skip_space() {
-    while (!left_.empty() && std::string_view(" \t\r\n").find(left_.front()) != std::string_view::npos)
-      left_.remove_prefix(1);
+    while (!rest_.empty() && std::string_view(" \t\r\n").find(rest_.front()) != std::string_view::npos)
+      rest_.remove_prefix(1);
   }
-  bool take(char c) {
-    if (left_.empty() || left_.front() != c) return false;
-    left_.remove_prefix(1);
+  bool consume(char c) {
+    if (rest_.empty() || rest_.front() != c) return false;
+    rest_.remove_prefix(1);
     return true;
   }
-  bool take_word(std::string_view word) {
-    if (!left_.starts_with(word)) return false;
-    left_.remove_prefix(word.size());
+  bool consume_literal(std::string_view literal) {
+    if (!rest_.starts_with(literal)) return false;
+    rest_.remove_prefix(literal.size());
     return true;
   }
 
   bool read(Json& value, int depth) {
-    if (depth > kDeepest) return false;
+    if (depth > kMaxDepth) return false;
     skip_space();
-    if (left_.empty()) return false;
-    switch (left_.front()) {
+    if (rest_.empty()) return false;
+    switch (rest_.front()) {
       case '{':
         return read_object(value, depth);
       case '[':
-        return read_list(value, depth);
+        return read_array(value, depth);
       case '"':
         value.kind_ = Json::Kind::kString;
-        return read_text(value.text_);
+        return read_string(value.text_);
       case 't':
       case 'f':
         value.kind_ = Json::Kind::kBool;
-        value.text_ = left_.front() == 't' ? "true" : "false";
-        return take_word(value.text_);
+        value.text_ = rest_.front() == 't' ? "true" : "false";
+        return consume_literal(value.text_);
       case 'n':
-        return take_word("null");
+        return consume_literal("null");
       default:
         value.kind_ = Json::Kind::kNumber;
         return read_number(value.text_);
@@ -84,117 +84,118 @@
 
   bool read_object(Json& value, int depth) {
     value.kind_ = Json::Kind::kObject;
-    take('{');
+    consume('{');
     skip_space();
-    if (take('}')) return true;
+    if (consume('}')) return true;
     for (;;) {
       auto& [name, member] = value.members_.emplace_back();
       skip_space();
-      if (left_.empty() || left_.front() != '"' || !read_text(name)) return false;
+      if (rest_.empty() || rest_.front() != '"' || !read_string(name)) return false;
       skip_space();
-      if (!take(':') || !read(member, depth + 1)) return false;
+      if (!consume(':') || !read(member, depth + 1)) return false;
       skip_space();
-      if (take('}')) return true;
-      if (!take(',')) return false;
+      if (consume('}')) return true;
+      if (!consume(',')) return false;
     }
   }
 
-  bool read_list(Json& value, int depth) {
+  bool read_array(Json& value, int depth) {
     value.kind_ = Json::Kind::kArray;
-    take('[');
+    consume('[');
     skip_space();
-    if (take(']')) return true;
+    if (consume(']')) return true;
     for (;;) {
       if (!read(value.items_.emplace_back(), depth + 1)) return false;
       skip_space();
-      if (take(']')) return true;
-      if (!take(',')) return false;
+      if (consume(']')) return true;
+      if (!consume(',')) return false;
     }
   }
 
   bool read_number(std::string& out) {
-    std::size_t at = 0;
+    std::size_t position = 0;
     const auto digits = [&] {
-      const std::size_t from = at;
-      while (at < left_.size() && is_digit(left_[at])) ++at;
-      return at > from;
+      const std::size_t start = position;
+      while (position < rest_.size() && is_digit(rest_[position])) ++position;
+      return position > start;
     };
-    if (at < left_.size() && left_[at] == '-') ++at;
-    const std::size_t first = at;
-    if (!digits() || (left_[first] == '0' && at > first + 1)) return false;
-    if (at < left_.size() && left_[at] == '.') {
-      ++at;
+    if (position < rest_.size() && rest_[position] == '-') ++position;
+    const std::size_t first_digit = position;
+    if (!digits() || (rest_[first_digit] == '0' && position > first_digit + 1)) return false;
+    if (position < rest_.size() && rest_[position] == '.') {
+      ++position;
       if (!digits()) return false;
     }
-    if (at < left_.size() && (left_[at] == 'e' || left_[at] == 'E')) {
-      ++at;
-      if (at < left_.size() && (left_[at] == '+' || left_[at] == '-')) ++at;
+    if (position < rest_.size() && (rest_[position] == 'e' || rest_[position] == 'E')) {
+      ++position;
+      if (position < rest_.size() && (rest_[position] == '+' || rest_[position] == '-')) ++position;
       if (!digits()) return false;
     }
-    out = left_.substr(0, at);
-    left_.remove_prefix(at);
+    out = rest_.substr(0, position);
+    rest_.remove_prefix(position);
     return true;
   }
 
-  bool read_hex(std::uint32_t& code) {
-    if (left_.size() < 4) return false;
-    const auto [end, error] = std::from_chars(left_.data(), left_.data() + 4, code, 16);
-    if (error != std::errc() || end != left_.data() + 4) return false;
-    left_.remove_prefix(4);
+  bool read_four_hex_digits(std::uint32_t& code) {
+    if (rest_.size() < 4) return false;
+    const auto [end, error] = std::from_chars(rest_.data(), rest_.data() + 4, code, 16);
+    if (error != std::errc() || end != rest_.data() + 4) return false;
+    rest_.remove_prefix(4);
     return true;
   }
 
-  bool read_text(std::string& out) {
-    take('"');
-    while (!left_.empty()) {
-      const char c = left_.front();
-      left_.remove_prefix(1);
+  bool read_string(std::string& out) {
+    consume('"');
+    while (!rest_.empty()) {
+      const char c = rest_.front();
+      rest_.remove_prefix(1);
       if (c == '"') return true;
       if (static_cast<unsigned char>(c) < 0x20) return false;
       if (c != '\\') {
         out += c;
         continue;
       }
-      if (left_.empty()) return false;
-      const char escaped = left_.front();
-      left_.remove_prefix(1);
-      constexpr std::string_view kNames = "\"\\/bfnrt", kMeant = "\"\\/\b\f\n\r\t";
-      if (const auto place = kNames.find(escaped); place != std::string_view::npos) {
-        out += kMeant[place];
-      } else if (escaped != 'u' || !read_escape(out)) {
+      if (rest_.empty()) return false;
+      const char escaped = rest_.front();
+      rest_.remove_prefix(1);
+      constexpr std::string_view kEscapes = "\"\\/bfnrt", kCharacters = "\"\\/\b\f\n\r\t";
+      if (const auto index = kEscapes.find(escaped); index != std::string_view::npos) {
+        out += kCharacters[index];
+      } else if (escaped != 'u' || !read_unicode_escape(out)) {
         return false;
       }
     }
     return false;
   }
 
-  bool read_escape(std::string& out) {
+  bool read_unicode_escape(std::string& out) {
     std::uint32_t code = 0, low = 0;
-    if (!read_hex(code) || (code >= 0xdc00 && code < 0xe000)) return false;
+    if (!read_four_hex_digits(code) || (code >= 0xdc00 && code < 0xe000)) return false;
     if (code >= 0xd800 && code < 0xdc00) {
-      if (!take('\\') || !take('u') || !read_hex(low) || low < 0xdc00 || low >= 0xe000) return false;
+      if (!consume('\\') || !consume('u') || !read_four_hex_digits(low) || low < 0xdc00 || low >= 0xe000)
+        return false;
       code = 0x10000 + ((code - 0xd800) << 10) + (low - 0xdc00);
     }
     append_utf8(out, code);
     return true;
   }
 
-  std::string_view left_;
+  std::string_view rest_;
 };
 
-std::optional<Json> Json::parse(std::string_view text) { return JsonReader(text).whole(); }
+std::optional<Json> Json::parse(std::string_view text) { return JsonReader(text).read_document(); }
 
 const Json& Json::operator[](std::string_view name) const {
-  static const Json kNothing;
+  static const Json kNull;
   for (const auto& [key, member] : members_)
     if (key == name) return member;
-  return kNothing;
+  return kNull;
 }
 
 namespace {
 
 void append_quoted(std::string& out, std::string_view text) {
-  constexpr std::string_view kDigits = "0123456789abcdef";
+  constexpr std::string_view kHexDigits = "0123456789abcdef";
   out += '"';
   for (const char c : text) {
     const auto code = static_cast<unsigned char>(c);
@@ -203,8 +204,8 @@
       out += c;
     } else if (code < 0x20) {
       out += "\\u00";
-      out += kDigits[code >> 4];
-      out += kDigits[code & 15];
+      out += kHexDigits[code >> 4];
+      out += kHexDigits[code & 15];
     } else {
       out += c;
     }
@@ -212,7 +213,7 @@
   out += '"';
 }
 
-void append_text(std::string& out, const Json& value) {
+void append_value(std::string& out, const Json& value) {
   switch (value.kind()) {
     case Json::Kind::kNull:
       out += "null";
@@ -226,19 +227,19 @@
       break;
     case Json::Kind::kArray:
       out += '[';
-      for (std::size_t place = 0; place < value.items().size(); ++place) {
-        if (place > 0) out += ',';
-        append_text(out, value.items()[place]);
+      for (std::size_t index = 0; index < value.items().size(); ++index) {
+        if (index > 0) out += ',';
+        append_value(out, value.items()[index]);
       }
       out += ']';
       break;
     case Json::Kind::kObject:
       out += '{';
-      for (std::size_t place = 0; place < value.members().size(); ++place) {
-        if (place > 0) out += ',';
-        append_quoted(out, value.members()[place].first);
+      for (std::size_t index = 0; index < value.members().size(); ++index) {
+        if (index > 0) out += ',';
+        append_quoted(out, value.members()[index].first);
         out += ':';
-        append_text(out, value.members()[place].second);
+        append_value(out, value.members()[index].second);
       }
       out += '}';
       break;
@@ -249,7 +250,7 @@
 
 std::string serialize(const Json& value) {
   std::string out;
-  append_text(out, value);
+  append_value(out, value);
   return out;
 }
 
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -1,5 +1,5 @@
-// The cache nodes' protocol: commands and answers as lines of words, with bodies behind them. Commands are
-// written, answers parsed as they arrive, in pieces of any size.
+// The cache nodes' protocol: commands and answers are lines of space-separated words, and a body may follow.
+// The director formats commands and parses answers incrementally.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +11,25 @@
 
 namespace hareramp::protocol {
 
-// What a request says of itself; it goes on as the client worded it.
+// The parts of a client's request that are forwarded to the nodes unchanged.
 struct ForwardedRequest {
   std::string lane, name, piece, cached, body;
-  std::uint32_t request_class_number = 0, location_number = 0;  // for flow records alone; not worded
-  // Set by the client's connection once the client has closed, reset or left it; not worded. From then on no
-  // attempt for the request begins.
+  std::uint32_t request_class_number = 0, location_number = 0;  // only for flow records; not sent
+  // Set by the client's connection once the client has closed, reset or left it; not sent. From then on no
+  // attempt for the request starts.
   bool client_gone = false;
 };
 
+// The command to serve a request. time_left: for the node to answer. node: the node that gets the command.
 std::string format_serve_command(const RequestId& request, const ForwardedRequest& forwarded_request,
-                                 Seconds wait, const NodeId& node, const FillOptions& fill);
+                                 Seconds time_left, const NodeId& node, const FillOptions& fill);
 std::string format_cancel_command(const RequestId& request);
 
 class AnswerHandler {
  public:
   virtual ~AnswerHandler() = default;
-  // Views last only for the call.
-  virtual void answer(std::string_view request, Result result, AnswerDetail note, Seconds waited,
+  // Views are valid only during the call. same_copy: the client's cached copy is still current.
+  virtual void answer(std::string_view request, Result result, AnswerDetail detail, Seconds waited,
                       bool same_copy, std::string_view tag, const LoadReport& report,
                       std::string_view body) = 0;
   virtual void unknown_field(std::string_view name) = 0;
@@ -36,18 +37,20 @@
 
 class AnswerParser {
  public:
-  AnswerParser(std::size_t most_line, std::size_t most_body) : most_line_(most_line), most_body_(most_body) {}
-
-  // Reads the whole answers at the start of input. False: it can't be read, and nothing after it either.
-  bool feed(std::string_view input, std::size_t& used, AnswerHandler& handler);
-  // How many more bytes the answer that has begun needs at least.
-  std::size_t wanted() const { return wanted_; }
-  // Of the answer that the handler is being told: all of it, line and body.
+  AnswerParser(std::size_t max_line_bytes, std::size_t max_body_bytes)
+      : max_line_bytes_(max_line_bytes), max_body_bytes_(max_body_bytes) {}
+
+  // Parses the complete answers at the start of the input; consumed is set to their length. False: an answer
+  // is malformed, and nothing that follows it can be parsed.
+  bool feed(std::string_view input, std::size_t& consumed, AnswerHandler& handler);
+  // The number of further bytes that the answer in progress needs at least.
+  std::size_t wanted() const { return missing_bytes_; }
+  // The size of the answer that is being passed to the handler, line and body.
   std::size_t answer_bytes() const { return answer_bytes_; }
 
  private:
-  std::size_t most_line_, most_body_;
-  std::size_t looked_ = 0, wanted_ = 0, answer_bytes_ = 0;
+  std::size_t max_line_bytes_, max_body_bytes_;
+  std::size_t searched_ = 0, missing_bytes_ = 0, answer_bytes_ = 0;
 };
 
 }  // namespace hareramp::protocol
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -1,5 +1,5 @@
-// The settings as the module is given them: a plain map of names to values. The bench's wire hands them over
-// flat and the configuration as nested JSON; both pass here, so that they come out alike.
+// The settings in the form that the Director takes: a map of names to values. The simulator's wire format has
+// them flat, the configuration as nested JSON; both are converted here, so that the results are the same.
 #pragma once
 
 #include <string>
@@ -10,11 +10,13 @@
 
 namespace hareramp::protocol {
 
-// One value under its full name, such as Contract.ColdS. Spaces and line ends in a value become _.
+// Sets one value under its full name, such as Contract.ColdS. Spaces, tabs and line ends in the value become
+// _.
 void put_setting(Settings& settings, std::string_view name, std::string_view value);
 
-// Nested values: members joined by a point; a list of plain values as one value, joined by commas; a list of
-// objects as its length under .count and its items under .0, .1 and so on.
+// Sets nested values. The names of nested members are joined by dots. An array of plain values becomes one
+// value, joined by commas; an array of objects becomes its length under .count and its items under .0, .1 and
+// so on.
 void flatten_settings(Settings& settings, const Json& value, const std::string& name = "");
 
 }  // namespace hareramp::protocol
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -1,4 +1,5 @@
-// The parsers and writers: whole, torn at every byte, over their bounds, and fed what nobody should send.
+// The parsers and formatters: complete input, input cut at every byte, input over the limits, and malformed
+// input.
 #include <random>
 
 #include "helpers.hpp"
@@ -12,111 +13,116 @@
 
 namespace {
 
-// Feeds text in pieces of the given size and writes down what comes of it.
+// Records the calls of an HttpParser.
 struct HttpTrace : HttpHandler {
-  std::string words;
-  void start_line(std::string_view one, std::string_view two) override {
-    words += "[" + std::string(one) + "|" + std::string(two) + "]";
+  std::string trace;
+  void start_line(std::string_view first, std::string_view second) override {
+    trace += "[" + std::string(first) + "|" + std::string(second) + "]";
   }
   void header(std::string_view name, std::string_view value) override {
-    words += " " + std::string(name) + "=" + std::string(value);
+    trace += " " + std::string(name) + "=" + std::string(value);
   }
-  void body(std::string_view piece) override {
-    if (!in_body) words += " body ";
+  void body(std::string_view chunk) override {
+    if (!in_body) trace += " body ";
     in_body = true;
-    words += piece;
+    trace += chunk;
   }
   bool in_body = false;
 };
 
-std::string http(const std::string& text, std::size_t piece, HttpParser::Message message,
-                 HttpLimits bounds = {400, 100}) {
-  HttpParser parser(message, bounds);
-  HttpTrace trace;
-  std::string held;
-  const char* ends[] = {"more", "head", " done\n", " bad\n", " too large\n", " unknown\n"};
-  for (std::size_t at = 0; at < text.size(); at += piece) {
-    held += text.substr(at, piece);
+// Parses the text in pieces of piece_size bytes and returns the trace.
+std::string http(const std::string& text, std::size_t piece_size, HttpParser::Message message,
+                 HttpLimits limits = {400, 100}) {
+  HttpParser parser(message, limits);
+  HttpTrace handler;
+  std::string unconsumed;
+  const char* results[] = {"more", "head", " done\n", " bad\n", " too large\n", " unknown\n"};
+  for (std::size_t at = 0; at < text.size(); at += piece_size) {
+    unconsumed += text.substr(at, piece_size);
     for (;;) {
-      std::size_t used = 0;
-      const auto step = parser.feed(held, used, trace);
-      held.erase(0, used);
+      std::size_t consumed = 0;
+      const auto step = parser.feed(unconsumed, consumed, handler);
+      unconsumed.erase(0, consumed);
       if (step == HttpParser::Step::kHead) continue;
       if (step == HttpParser::Step::kMore) break;
-      trace.words += std::string(parser.keeps_alive() ? "" : " close") + ends[static_cast<int>(step)];
-      trace.in_body = false;
-      if (step != HttpParser::Step::kDone) return trace.words;
-      if (held.empty()) break;
+      handler.trace += std::string(parser.keeps_alive() ? "" : " close") + results[static_cast<int>(step)];
+      handler.in_body = false;
+      if (step != HttpParser::Step::kDone) return handler.trace;
+      if (unconsumed.empty()) break;
     }
   }
-  return trace.words + (parser.begun() ? " unfinished\n" : "");
+  return handler.trace + (parser.begun() ? " unfinished\n" : "");
 }
 
-// The same, however it is torn.
-std::string torn(const std::string& text, HttpParser::Message message = HttpParser::Message::kRequest) {
-  const std::string whole = http(text, text.size(), message);
-  for (std::size_t piece = 1; piece < std::min<std::size_t>(text.size(), 60); ++piece)
-    CHECK_MESSAGE(http(text, piece, message) == whole, "in pieces of " << piece << ": " << text);
-  return whole;
+// Checks that the trace is the same in whatever pieces the text arrives, and returns it.
+std::string http_in_pieces(const std::string& text,
+                           HttpParser::Message message = HttpParser::Message::kRequest) {
+  const std::string expected = http(text, text.size(), message);
+  for (std::size_t piece_size = 1; piece_size < std::min<std::size_t>(text.size(), 60); ++piece_size)
+    CHECK_MESSAGE(http(text, piece_size, message) == expected, "in pieces of " << piece_size << ": " << text);
+  return expected;
 }
 
 struct AnswerTrace : AnswerHandler {
-  std::string words;
-  void unknown_field(std::string_view name) override { words += "unknown " + std::string(name) + ": "; }
-  void answer(std::string_view request, Result result, AnswerDetail note, Seconds waited, bool same,
+  std::string trace;
+  void unknown_field(std::string_view name) override { trace += "unknown " + std::string(name) + ": "; }
+  void answer(std::string_view request, Result result, AnswerDetail detail, Seconds waited, bool same_copy,
               std::string_view tag, const LoadReport& report, std::string_view body) override {
-    words += std::string(request) + " result " + std::to_string(static_cast<int>(result)) + " note " +
-             std::to_string(static_cast<int>(note)) + " waited " + DirectorFixture::text(waited);
-    if (same) words += " same";
-    words += " tag '" + std::string(tag) + "'";
-    for (const auto& [name, value] : report) words += " " + name + ":" + DirectorFixture::text(value);
-    words += " bytes " + std::to_string(body.size()) + " '" + std::string(body.substr(0, 12)) + "'\n";
+    trace += std::string(request) + " result " + std::to_string(static_cast<int>(result)) + " detail " +
+             std::to_string(static_cast<int>(detail)) + " waited " + DirectorFixture::text(waited);
+    if (same_copy) trace += " same";
+    trace += " tag '" + std::string(tag) + "'";
+    for (const auto& [name, value] : report) trace += " " + name + ":" + DirectorFixture::text(value);
+    trace += " bytes " + std::to_string(body.size()) + " '" + std::string(body.substr(0, 12)) + "'\n";
   }
 };
 
-std::string answers(const std::string& text, std::size_t piece) {
+// Parses the text in pieces of piece_size bytes and returns the trace.
+std::string answers(const std::string& text, std::size_t piece_size) {
   AnswerParser parser(200, 1000);
-  AnswerTrace trace;
-  std::string held;
-  for (std::size_t at = 0; at < text.size(); at += piece) {
-    held += text.substr(at, piece);
-    std::size_t used = 0;
-    const bool readable = parser.feed(held, used, trace);
-    held.erase(0, used);
-    if (!readable) return trace.words + "not readable\n";
+  AnswerTrace handler;
+  std::string unconsumed;
+  for (std::size_t at = 0; at < text.size(); at += piece_size) {
+    unconsumed += text.substr(at, piece_size);
+    std::size_t consumed = 0;
+    const bool parsed = parser.feed(unconsumed, consumed, handler);
+    unconsumed.erase(0, consumed);
+    if (!parsed) return handler.trace + "malformed\n";
   }
-  return trace.words + (held.empty() ? "" : "unfinished\n");
+  return handler.trace + (unconsumed.empty() ? "" : "unfinished\n");
 }
 
 struct EventTrace : EventHandler {
-  std::string words;
+  std::string trace;
   void event(std::string_view id, std::string_view data) override {
-    words += "event " + std::string(id) + ": " + std::string(data) + "\n";
+    trace += "event " + std::string(id) + ": " + std::string(data) + "\n";
   }
 };
 
-std::string events(const std::string& text, std::size_t piece) {
+// As answers(), for server-sent events.
+std::string events(const std::string& text, std::size_t piece_size) {
   EventParser parser(60);
-  EventTrace trace;
-  for (std::size_t at = 0; at < text.size(); at += piece)
-    if (!parser.feed(std::string_view(text).substr(at, piece), trace)) return trace.words + "too long\n";
-  return trace.words;
+  EventTrace handler;
+  for (std::size_t at = 0; at < text.size(); at += piece_size)
+    if (!parser.feed(std::string_view(text).substr(at, piece_size), handler))
+      return handler.trace + "too long\n";
+  return handler.trace;
 }
 
 }  // namespace
 
-TEST_CASE("requests") {
+TEST_CASE("HTTP requests") {
   std::string trace;
-  const auto see = [&](const std::string& text) { trace += torn(text); };
-  see("GET /invoke/a/b HTTP/1.1\r\nHost: x\r\nX-Family:  17 \r\n\r\n");
-  see("\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\nPUT /p HTTP/1.1\r\nHost: x\r\nContent-Length: "
+  const auto add = [&](const std::string& text) { trace += http_in_pieces(text); };
+  add("GET /invoke/a/b HTTP/1.1\r\nHost: x\r\nX-Family:  17 \r\n\r\n");
+  add("\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\nPUT /p HTTP/1.1\r\nHost: x\r\nContent-Length: "
       "5\r\n\r\nab\r\ncGET / HTTP/1.0\r\n\r\n");
-  see("PUT /p HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n2\r\nde\r\n0\r\nT: "
+  add("PUT /p HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n2\r\nde\r\n0\r\nT: "
       "1\r\n\r\n");
-  see("GET / HTTP/1.1\r\nHost: x\r\nConnection: foo, Close\r\n\r\n");
-  see("PUT / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc");
-  trace += "-- not to be read\n";
-  for (const char* bad :
+  add("GET / HTTP/1.1\r\nHost: x\r\nConnection: foo, Close\r\n\r\n");
+  add("PUT / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nabc");
+  trace += "-- rejected\n";
+  for (const char* malformed :
        {"GET / HTTP/1.1\nHost: x\r\n\r\n", "GET  / HTTP/1.1\r\n\r\n", "GET /\r\n\r\n",
         "G{T / HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\n\r\n", "GET / HTTP/1.1\r\nHost : x\r\n\r\n",
         "GET / HTTP/1.1\r\nHost: x\r\n folded\r\n\r\n", "GET / HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n",
@@ -130,18 +136,19 @@
         "PUT / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n",
         "PUT / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n65\r\n",
         "GET / HTTP/1.1\r\nHost: \x01\r\n\r\n"})
-    see(bad);
-  see("GET /" + std::string(400, 'a'));
-  see("GET / HTTP/1.1\r\nHost: x\r\n" + std::string("A: b\r\n") + "B: " + std::string(400, 'c') + "\r\n\r\n");
+    add(malformed);
+  add("GET /" + std::string(400, 'a'));
+  add("GET / HTTP/1.1\r\nHost: x\r\n" + std::string("A: b\r\n") + "B: " + std::string(400, 'c') + "\r\n\r\n");
   check_trace("http_requests", trace);
 }
 
-TEST_CASE("responses, answers and their heads") {
+TEST_CASE("HTTP responses, and the heads that are written") {
   const auto response = HttpParser::Message::kResponse;
-  std::string trace = torn("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nid: 4\r\n", response);
-  trace += "\n" + torn("HTTP/1.1 200 OK\r\n\r\nuntil the end", response) + "\n";
-  trace += torn("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", response);
-  trace += torn("HTTP/1.1 twohundred\r\n\r\n", response);
+  std::string trace =
+      http_in_pieces("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nid: 4\r\n", response);
+  trace += "\n" + http_in_pieces("HTTP/1.1 200 OK\r\n\r\nuntil the end", response) + "\n";
+  trace += http_in_pieces("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", response);
+  trace += http_in_pieces("HTTP/1.1 twohundred\r\n\r\n", response);
   for (const std::string& head :
        {http_response_head(200, "ETag: \"a\"\r\n", 3, true), http_response_head(304, "", 0, true),
         http_response_head(503, "", 0, false)})
@@ -150,14 +157,15 @@
   check_trace("http_responses", trace);
 }
 
-TEST_CASE("garbage never breaks a parser") {
-  std::knuth_b chance(11);
-  const std::string marks = "GET /HTP1.:\r\n\r\n0a ,=+-{}[]\"\\u\xff\x00";
+TEST_CASE("random input never breaks a parser") {
+  std::knuth_b generator(11);
+  const std::string alphabet = "GET /HTP1.:\r\n\r\n0a ,=+-{}[]\"\\u\xff\x00";
   for (int round = 0; round < 3000; ++round) {
     std::string text;
-    for (auto left = chance() % 120; left > 0; --left) text += marks[chance() % marks.size()];
+    for (auto length = generator() % 120; length > 0; --length)
+      text += alphabet[generator() % alphabet.size()];
     if (text.empty()) continue;
-    // Whatever becomes of it, it is the same in one piece and byte by byte, and it ends.
+    // Every parser terminates, and gives the same result for the whole text and byte by byte.
     CHECK(http(text, 1, HttpParser::Message::kRequest) ==
           http(text, text.size(), HttpParser::Message::kRequest));
     CHECK(answers(text, 1) == answers(text, text.size()));
@@ -166,7 +174,7 @@
   }
 }
 
-TEST_CASE("answers of nodes") {
+TEST_CASE("answers from nodes") {
   const std::string text =
       "9b1f03aa5c7e2d41 ACK "
       "sum=4be0c1927d55a6f3,t0=1764576000123,why=parent,slow=12.5,rep=inflight:7;x1:0.61 11\r\n"
@@ -174,12 +182,14 @@
       "a NOMOD sum=q,t0=1 0\r\n\r\nb NOENT why=behind 0\r\n\r\nc AGAIN why=crowded 0\r\n\r\n"
       "d EIO why=origin,slow=900 0\r\n\r\ne STALE - 0\r\n\r\nf ACK new=field,why=unheard,rep=x;y:z;w:2 "
       "0\r\n\r\n";
-  const std::string whole = answers(text, text.size());
-  for (std::size_t piece = 1; piece < text.size(); ++piece) CHECK(answers(text, piece) == whole);
-  std::string trace = whole + "-- not to be read\n";
-  for (const char* bad : {"a ACK - 1\r\nxy\r\n", "a HELLO - 0\r\n\r\n", "a ACK 0\r\n\r\n", "a ACK - x\r\n",
-                          "\r\n", "a ACK - 1001\r\n", "a ACK -\r\n", "a ACK - 0\n\n", "a ACK - -1\r\n"})
-    trace += answers(bad, 100);
+  const std::string expected = answers(text, text.size());
+  for (std::size_t piece_size = 1; piece_size < text.size(); ++piece_size)
+    CHECK(answers(text, piece_size) == expected);
+  std::string trace = expected + "-- rejected\n";
+  for (const char* malformed :
+       {"a ACK - 1\r\nxy\r\n", "a HELLO - 0\r\n\r\n", "a ACK 0\r\n\r\n", "a ACK - x\r\n", "\r\n",
+        "a ACK - 1001\r\n", "a ACK -\r\n", "a ACK - 0\n\n", "a ACK - -1\r\n"})
+    trace += answers(malformed, 100);
   trace += answers(std::string(201, 'a'), 300);
   trace += answers("a ACK - 5\r\nab", 100);
   check_trace("node_answers", trace);
@@ -209,37 +219,38 @@
   const std::string text =
       ": comment\n\nid: 41\ndata: {\"a\":1}\n\nid:42\r\ndata:two\r\ndata: lines\r\n\r\nretry: "
       "5\nunknown\nid: 43\n\ndata\n\n";
-  const std::string whole = events(text, text.size());
-  for (std::size_t piece = 1; piece < text.size(); ++piece) CHECK(events(text, piece) == whole);
-  check_trace("events",
-              whole + events("data: " + std::string(60, 'x') + "\n\n", 100) + events("data: cut sho", 100));
+  const std::string expected = events(text, text.size());
+  for (std::size_t piece_size = 1; piece_size < text.size(); ++piece_size)
+    CHECK(events(text, piece_size) == expected);
+  check_trace("events", expected + events("data: " + std::string(60, 'x') + "\n\n", 100) +
+                            events("data: cut sho", 100));
 }
 
 namespace {
 struct ChangeTrace : ChangeHandler {
-  std::string words;
-  void list_starts(bool whole) override { words += whole ? "whole list\n" : "changes\n"; }
+  std::string trace;
+  void list_starts(bool full) override { trace += full ? "full list\n" : "delta\n"; }
   void list_entry(const NodeId& node, const std::string& address, const std::string& zone,
                   const std::string& kind, CellIndex cell, EndpointState endpoint_state, double weight,
                   double started) override {
-    words += " " + node.value + " " + address + " " + zone + " " + kind + " cell " +
+    trace += " " + node.value + " " + address + " " + zone + " " + kind + " cell " +
              std::to_string(cell.value) + " state " + std::to_string(static_cast<int>(endpoint_state)) +
              " weight " + DirectorFixture::text(weight) + " started " + DirectorFixture::text(started) + "\n";
   }
-  void list_ends() override { words += "end of list\n"; }
+  void list_ends() override { trace += "end of list\n"; }
   void object_purged(ObjectId object, double at) override {
-    words += "object " + std::to_string(object.value) + " purged at " + DirectorFixture::text(at) + "\n";
+    trace += "object " + std::to_string(object.value) + " purged at " + DirectorFixture::text(at) + "\n";
   }
   void group_purged(GroupId group, double at) override {
-    words += "group " + std::to_string(group.value) + " purged at " + DirectorFixture::text(at) + "\n";
+    trace += "group " + std::to_string(group.value) + " purged at " + DirectorFixture::text(at) + "\n";
   }
-  void unknown_field(std::string_view name) override { words += "unknown " + std::string(name) + "\n"; }
-  void skipped(const std::string& what) override { words += "skipped " + what + "\n"; }
+  void unknown_field(std::string_view name) override { trace += "unknown " + std::string(name) + "\n"; }
+  void skipped(const std::string& description) override { trace += "skipped " + description + "\n"; }
 };
 }  // namespace
 
-TEST_CASE("what the change log says") {
-  ChangeTrace trace;
+TEST_CASE("changes of the change stream") {
+  ChangeTrace handler;
   for (
       const char* text :
       {R"({"seq":41,"fleet":{"version":7,"full":false,"servers":[{"id":"s-1","addr":"10.1.0.9:5050","zone":"east",
@@ -250,17 +261,18 @@
        R"({"seq":42,"invalidate":{"object":"7f3a9c21e0b4d655","time":1764576000123}})",
        R"({"seq":43,"invalidate":{"bucket":17,"time":1764576000480}})",
        R"({"seq":44,"invalidate":{"object":"xyz"}})", R"({"seq":45,"weather":{"rain":true}})"})
-    read_change(*Json::parse(text), trace);
-  check_trace("changes", trace.words);
+    read_change(*Json::parse(text), handler);
+  check_trace("changes", handler.trace);
 }
 
 TEST_CASE("JSON") {
-  for (const char* good :
+  for (const char* valid :
        {"0", "-1.5e+3", "\"\"", "[]", "{}", " [ 1 , {\"a\" : null } ] ", "true", "\"\\u00e9\\ud83d\\ude00\""})
-    CHECK_MESSAGE(Json::parse(good), good);
-  for (const char* bad : {"", "01", "1.", "-", "+1", "[1,]", "{\"a\"}", "{a:1}", "\"\\x\"", "\"\\ud800\"",
-                          "\"\n\"", "tru", "1 2", "[", "{\"a\":1,}", "\"open", "nul", "1e", "\"\\u12\""})
-    CHECK_FALSE_MESSAGE(Json::parse(bad), bad);
+    CHECK_MESSAGE(Json::parse(valid), valid);
+  for (const char* malformed :
+       {"", "01", "1.", "-", "+1", "[1,]", "{\"a\"}", "{a:1}", "\"\\x\"", "\"\\ud800\"", "\"\n\"", "tru",
+        "1 2", "[", "{\"a\":1,}", "\"open", "nul", "1e", "\"\\u12\""})
+    CHECK_FALSE_MESSAGE(Json::parse(malformed), malformed);
   CHECK_FALSE(Json::parse(std::string(100, '[') + std::string(100, ']')));
   const auto value =
       Json::parse(R"({"a":"x\ty\u00e9\ud83d\ude00","b":[1,2.50,true],"big":18446744073709551616})");
@@ -272,7 +284,7 @@
   CHECK((*value)["none"]["deeper"].number(7) == 7);
 }
 
-TEST_CASE("settings come out alike from nested JSON and from the bench's line") {
+TEST_CASE("settings are the same from nested JSON and from the simulator's flat form") {
   Settings nested;
   flatten_settings(nested, *Json::parse(R"({"Accounts":[],"Contract":{"ColdS":17.0},"Balancers":3,
       "FamilyInfo":{"GoodForS":[0.0,12.0],"ReportX1":"a cache: transfers, in all","CanJoin":false},
