--- a/tests/faults/fault_control.cpp
+++ b/tests/faults/fault_control.cpp
@@ -12,17 +12,19 @@
 namespace hareramp::faults {
 
 namespace {
-[[noreturn]] void fail(const char* what) { throw std::system_error(errno, std::generic_category(), what); }
+[[noreturn]] void throw_errno(const char* call) {
+  throw std::system_error(errno, std::generic_category(), call);
+}
 }  // namespace
 
 FaultControl::FaultControl() {
   path_ = std::filesystem::temp_directory_path() / "hareramp-faults-XXXXXX";
   const int file = mkstemp(path_.data());
-  if (file < 0) fail("mkstemp");
-  if (ftruncate(file, sizeof(FaultTable)) != 0) fail("ftruncate");
+  if (file < 0) throw_errno("mkstemp");
+  if (ftruncate(file, sizeof(FaultTable)) != 0) throw_errno("ftruncate");
   void* const mapped = mmap(nullptr, sizeof(FaultTable), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
   ::close(file);
-  if (mapped == MAP_FAILED) fail("mmap");
+  if (mapped == MAP_FAILED) throw_errno("mmap");
   table_ = static_cast<FaultTable*>(mapped);
 }
 
@@ -32,29 +34,30 @@
 }
 
 std::map<std::string, std::string> FaultControl::environment(const std::string& library) const {
-  // Under ASan its runtime would refuse to start behind a preloaded library; ours replaces nothing of it.
-  const char* const set = getenv("ASAN_OPTIONS");
-  const std::string before = set == nullptr ? "" : std::string(set) + ":";
+  // ASan's runtime refuses to start if another library is preloaded before it; the fault library replaces
+  // none of its functions, so that check is disabled.
+  const char* const current = getenv("ASAN_OPTIONS");
+  const std::string options = current == nullptr ? "" : std::string(current) + ":";
   return {{"LD_PRELOAD", library},
           {kTableVariable, path_},
-          {"ASAN_OPTIONS", before + "verify_asan_link_order=0"}};
+          {"ASAN_OPTIONS", options + "verify_asan_link_order=0"}};
 }
 
 void FaultControl::inject(SystemCall call, int error, std::int64_t skip, std::int64_t fail) {
-  FaultRule& changed = rule(call);
-  changed.fail = 0;
-  changed.error = error;
-  changed.skip = skip;
-  changed.fail = fail;
+  FaultRule& call_rule = rule(call);
+  call_rule.fail = 0;
+  call_rule.error = error;
+  call_rule.skip = skip;
+  call_rule.fail = fail;
 }
 
-void FaultControl::bound_bytes(SystemCall call, std::uint64_t most) { rule(call).most = most; }
+void FaultControl::limit_bytes(SystemCall call, std::uint64_t max_bytes) { rule(call).max_bytes = max_bytes; }
 
 void FaultControl::clear(SystemCall call) {
-  FaultRule& changed = rule(call);
-  changed.fail = 0;
-  changed.skip = 0;
-  changed.most = 0;
+  FaultRule& call_rule = rule(call);
+  call_rule.fail = 0;
+  call_rule.skip = 0;
+  call_rule.max_bytes = 0;
 }
 
 void FaultControl::clear_all() {
--- a/tests/faults/fault_control.hpp
+++ b/tests/faults/fault_control.hpp
@@ -1,4 +1,4 @@
-// The test's side of the preloaded faults: owns the mapped table, sets its rules and reads its counters.
+// The test's side of fault injection: owns the mapped fault table, sets its rules and reads its counters.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace hareramp::faults {
 
-// `fail` for a fault that lasts until it is cleared.
+// The value of `fail` for a fault that lasts until it is cleared.
 inline constexpr std::int64_t kUntilCleared = std::int64_t{1} << 62;
 
 class FaultControl {
@@ -20,17 +20,17 @@
   FaultControl(const FaultControl&) = delete;
   FaultControl& operator=(const FaultControl&) = delete;
 
-  // The environment that preloads the library at this path into a program and gives it this table.
+  // The environment variables that preload the library at this path into a program and pass it this table.
   std::map<std::string, std::string> environment(const std::string& library) const;
 
-  // From now on `skip` calls of this kind pass, and the next `fail` ones return this errno.
+  // From now on, `skip` calls of this kind succeed as usual, and the next `fail` ones fail with this errno.
   void inject(SystemCall call, int error, std::int64_t skip = 0, std::int64_t fail = 1);
-  // From now on a call of this kind moves so many bytes at most; 0: no bound.
-  void bound_bytes(SystemCall call, std::uint64_t most);
-  // No further fault and no bound for this kind; its counters stay.
+  // From now on a call of this kind reads or writes at most max_bytes; 0: no limit.
+  void limit_bytes(SystemCall call, std::uint64_t max_bytes);
+  // Removes the fault and the byte limit of this kind; its counters keep their values.
   void clear(SystemCall call);
   void clear_all();
-  // Added to the system's clock (CLOCK_REALTIME) that the program reads.
+  // An offset to the system's clock (CLOCK_REALTIME) as the program reads it.
   void set_clock_offset(double seconds);
 
   std::uint64_t seen(SystemCall call) const { return rule(call).seen; }
--- a/tests/faults/fault_shim.cpp
+++ b/tests/faults/fault_shim.cpp
@@ -1,7 +1,7 @@
-// A library for LD_PRELOAD: takes the place of the C library's wrappers of some system calls in the program
-// under test, and makes them fail as the mapped table says (fault_table.hpp). What does not fail goes to the
-// kernel by syscall(2), so nothing has to be looked up and it works the same under ASan. Without the variable
-// that names the table it injects nothing.
+// A library for LD_PRELOAD that replaces the C library's wrappers of some system calls in the program under
+// test and makes them fail as the mapped table specifies (fault_table.hpp). All other calls go to the kernel
+// through syscall(2), so no symbol has to be looked up and the library works the same under ASan. Without the
+// environment variable that names the table it injects no faults.
 #include <fcntl.h>
 #include <sys/epoll.h>
 #include <sys/mman.h>
@@ -24,8 +24,8 @@
 using hareramp::faults::FaultTable;
 using hareramp::faults::SystemCall;
 
-constexpr std::size_t kSignalSetBytes = 8;  // as the kernel has it, not the C library
-constexpr std::int64_t kNanoseconds = 1'000'000'000;
+constexpr std::size_t kSignalSetBytes = 8;  // the kernel's size, not the C library's
+constexpr std::int64_t kNanosecondsPerSecond = 1'000'000'000;
 
 FaultTable no_faults;
 
@@ -47,26 +47,27 @@
 
 FaultRule& rule(SystemCall call) { return table().rules[static_cast<std::size_t>(call)]; }
 
-// Takes one off what is left; false if nothing is.
-bool take_one(std::atomic<std::int64_t>& left) {
-  std::int64_t now = left;
-  while (now > 0 && !left.compare_exchange_weak(now, now - 1)) {
+// Decrements the counter if it is above 0; returns whether it was.
+bool decrement_if_positive(std::atomic<std::int64_t>& counter) {
+  std::int64_t value = counter;
+  while (value > 0 && !counter.compare_exchange_weak(value, value - 1)) {
   }
-  return now > 0;
+  return value > 0;
 }
 
-// Counts one call; the errno that it has to fail with, if it has to.
-std::optional<int> fault(SystemCall call) {
-  FaultRule& followed = rule(call);
-  ++followed.seen;
-  if (followed.fail <= 0 || take_one(followed.skip) || !take_one(followed.fail)) return {};
-  ++followed.injected;
-  return followed.error.load();
+// Counts one call. Returns the errno with which it must fail, or nothing.
+std::optional<int> next_fault(SystemCall call) {
+  FaultRule& call_rule = rule(call);
+  ++call_rule.seen;
+  if (call_rule.fail <= 0 || decrement_if_positive(call_rule.skip) || !decrement_if_positive(call_rule.fail))
+    return {};
+  ++call_rule.injected;
+  return call_rule.error.load();
 }
 
-std::size_t bounded(SystemCall call, std::size_t bytes) {
-  const std::uint64_t most = rule(call).most;
-  return most == 0 ? bytes : std::min<std::size_t>(bytes, most);
+std::size_t limited(SystemCall call, std::size_t bytes) {
+  const std::uint64_t max_bytes = rule(call).max_bytes;
+  return max_bytes == 0 ? bytes : std::min<std::size_t>(bytes, max_bytes);
 }
 
 int fail_with(int error) {
@@ -76,40 +77,41 @@
 
 template <class... Arguments>
 int call_kernel(SystemCall call, long number, Arguments... arguments) {
-  if (const auto error = fault(call)) return fail_with(*error);
+  if (const auto error = next_fault(call)) return fail_with(*error);
   return static_cast<int>(syscall(number, arguments...));
 }
 
-// Errors after which the kernel holds a connection for over; some of them are told only once.
+// Errors after which the kernel treats a connection as ended; it reports some of them only once.
 bool ends_connection(int error) {
   return error == ECONNRESET || error == EPIPE || error == ETIMEDOUT || error == EHOSTUNREACH;
 }
 
-// recv and send. What struck the connection has ended it: later calls and events show that as well.
+// For recv and send. An error that ends the connection also shuts it down, so that later calls and events
+// show it as ended.
 template <class Pointer, class... Arguments>
-ssize_t move_on_connection(SystemCall call, long number, int descriptor, Pointer bytes, std::size_t length,
-                           Arguments... arguments) {
-  if (const auto error = fault(call)) {
+ssize_t transfer_on_connection(SystemCall call, long number, int descriptor, Pointer bytes,
+                               std::size_t length, Arguments... arguments) {
+  if (const auto error = next_fault(call)) {
     if (ends_connection(*error)) syscall(SYS_shutdown, descriptor, SHUT_RDWR);
     return fail_with(*error);
   }
-  return syscall(number, descriptor, bytes, bounded(call, length), arguments...);
+  return syscall(number, descriptor, bytes, limited(call, length), arguments...);
 }
 
-// For files; an offset may follow the length.
+// For files. The arguments may contain an offset.
 template <class Pointer, class... Arguments>
-ssize_t move_bytes(SystemCall call, long number, int descriptor, Pointer bytes, std::size_t length,
-                   Arguments... arguments) {
-  if (const auto error = fault(call)) return fail_with(*error);
-  return syscall(number, descriptor, bytes, bounded(call, length), arguments...);
+ssize_t transfer_bytes(SystemCall call, long number, int descriptor, Pointer bytes, std::size_t length,
+                       Arguments... arguments) {
+  if (const auto error = next_fault(call)) return fail_with(*error);
+  return syscall(number, descriptor, bytes, limited(call, length), arguments...);
 }
 
 void add_offset(timespec& time) {
   const std::int64_t offset = table().clock_offset;
   if (offset == 0) return;
-  const std::int64_t all = time.tv_sec * kNanoseconds + time.tv_nsec + offset;
-  time.tv_sec = all / kNanoseconds;
-  time.tv_nsec = all % kNanoseconds;
+  const std::int64_t shifted = time.tv_sec * kNanosecondsPerSecond + time.tv_nsec + offset;
+  time.tv_sec = shifted / kNanosecondsPerSecond;
+  time.tv_nsec = shifted % kNanosecondsPerSecond;
 }
 
 }  // namespace
@@ -120,9 +122,10 @@
   return call_kernel(SystemCall::kSocket, SYS_socket, domain, type, protocol);
 }
 
-// A connect that a signal interrupts goes on in the kernel (connect(2)); so the call is made all the same.
+// A connect that a signal interrupts continues in the kernel (connect(2)), so with EINTR the call is made as
+// well.
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
-  const auto error = fault(SystemCall::kConnect);
+  const auto error = next_fault(SystemCall::kConnect);
   if (error && *error != EINTR) return fail_with(*error);
   const long result = syscall(SYS_connect, descriptor, address, size);
   if (error) return fail_with(*error);
@@ -134,33 +137,34 @@
 }
 
 ssize_t recv(int descriptor, void* bytes, std::size_t length, int flags) {
-  return move_on_connection(SystemCall::kRecv, SYS_recvfrom, descriptor, bytes, length, flags, nullptr,
-                            nullptr);
+  return transfer_on_connection(SystemCall::kRecv, SYS_recvfrom, descriptor, bytes, length, flags, nullptr,
+                                nullptr);
 }
-ssize_t __recv_chk(int descriptor, void* bytes, std::size_t length, std::size_t /*room*/, int flags) {
+ssize_t __recv_chk(int descriptor, void* bytes, std::size_t length, std::size_t /*buffer_size*/, int flags) {
   return recv(descriptor, bytes, length, flags);
 }
 
 ssize_t send(int descriptor, const void* bytes, std::size_t length, int flags) {
-  return move_on_connection(SystemCall::kSend, SYS_sendto, descriptor, bytes, length, flags, nullptr, 0);
+  return transfer_on_connection(SystemCall::kSend, SYS_sendto, descriptor, bytes, length, flags, nullptr, 0);
 }
 
 int epoll_ctl(int epoll, int operation, int descriptor, epoll_event* event) noexcept {
-  if (operation == EPOLL_CTL_DEL)  // it needs no memory, and never fails where it is used rightly
+  if (operation == EPOLL_CTL_DEL)  // needs no memory and fails only if it is misused
     return static_cast<int>(syscall(SYS_epoll_ctl, epoll, operation, descriptor, event));
   return call_kernel(SystemCall::kEpollCtl, SYS_epoll_ctl, epoll, operation, descriptor, event);
 }
 
-int epoll_pwait(int epoll, epoll_event* events, int most, int milliseconds, const sigset_t* signals) {
-  return call_kernel(SystemCall::kEpollWait, SYS_epoll_pwait, epoll, events, most, milliseconds, signals,
-                     kSignalSetBytes);
+int epoll_pwait(int epoll, epoll_event* events, int max_events, int milliseconds, const sigset_t* signals) {
+  return call_kernel(SystemCall::kEpollWait, SYS_epoll_pwait, epoll, events, max_events, milliseconds,
+                     signals, kSignalSetBytes);
 }
-int epoll_wait(int epoll, epoll_event* events, int most, int milliseconds) {
-  return epoll_pwait(epoll, events, most, milliseconds, nullptr);
+int epoll_wait(int epoll, epoll_event* events, int max_events, int milliseconds) {
+  return epoll_pwait(epoll, events, max_events, milliseconds, nullptr);
 }
-int epoll_pwait2(int epoll, epoll_event* events, int most, const timespec* wait, const sigset_t* signals) {
-  if (const auto error = fault(SystemCall::kEpollPwait2)) return fail_with(*error);
-  return call_kernel(SystemCall::kEpollWait, SYS_epoll_pwait2, epoll, events, most, wait, signals,
+int epoll_pwait2(int epoll, epoll_event* events, int max_events, const timespec* timeout,
+                 const sigset_t* signals) {
+  if (const auto error = next_fault(SystemCall::kEpollPwait2)) return fail_with(*error);
+  return call_kernel(SystemCall::kEpollWait, SYS_epoll_pwait2, epoll, events, max_events, timeout, signals,
                      kSignalSetBytes);
 }
 
@@ -169,18 +173,18 @@
 }
 
 ssize_t read(int descriptor, void* bytes, std::size_t length) {
-  return move_bytes(SystemCall::kRead, SYS_read, descriptor, bytes, length);
+  return transfer_bytes(SystemCall::kRead, SYS_read, descriptor, bytes, length);
 }
-ssize_t __read_chk(int descriptor, void* bytes, std::size_t length, std::size_t /*room*/) {
+ssize_t __read_chk(int descriptor, void* bytes, std::size_t length, std::size_t /*buffer_size*/) {
   return read(descriptor, bytes, length);
 }
 
 ssize_t write(int descriptor, const void* bytes, std::size_t length) {
-  return move_bytes(SystemCall::kWrite, SYS_write, descriptor, bytes, length);
+  return transfer_bytes(SystemCall::kWrite, SYS_write, descriptor, bytes, length);
 }
 
 ssize_t pwrite(int descriptor, const void* bytes, std::size_t length, off_t offset) {
-  return move_bytes(SystemCall::kPwrite, SYS_pwrite64, descriptor, bytes, length, offset);
+  return transfer_bytes(SystemCall::kPwrite, SYS_pwrite64, descriptor, bytes, length, offset);
 }
 ssize_t pwrite64(int descriptor, const void* bytes, std::size_t length, off64_t offset) {
   return pwrite(descriptor, bytes, length, offset);
--- a/tests/faults/fault_shim_test.cpp
+++ b/tests/faults/fault_shim_test.cpp
@@ -1,4 +1,4 @@
-// The preloaded faults themselves: that the real program feels them.
+// Fault injection itself: the injected faults take effect in the real program.
 #include <time.h>
 
 #include <cerrno>
@@ -11,11 +11,11 @@
 using namespace hareramp;
 using faults::SystemCall;
 
-TEST_CASE("faults reach the program and are counted") {
+TEST_CASE("faults take effect in the program and are counted") {
   transport::Scheduler scheduler;
   faults::FaultyProgram program(scheduler);
-  REQUIRE(program.serves());
-  CHECK(program.answers(1) == faults::Answers{.completed = 1});
+  REQUIRE(program.wait_until_serving());
+  CHECK(program.send_requests(1) == faults::Answers{.completed = 1});
   CHECK(program.faults.seen(SystemCall::kAccept4) > 0);
   CHECK(program.faults.seen(SystemCall::kEpollWait) > 0);
   CHECK(program.faults.seen(SystemCall::kRecv) > 0);
@@ -25,11 +25,11 @@
   for (std::size_t i = 0; i < faults::kSystemCalls; ++i)
     CHECK(program.faults.injected(static_cast<SystemCall>(i)) == 0);
   program.faults.inject(SystemCall::kAccept4, ECONNABORTED, 0, 2);
-  CHECK(program.answers(1) == faults::Answers{.completed = 1});
+  CHECK(program.send_requests(1) == faults::Answers{.completed = 1});
   CHECK(program.faults.injected(SystemCall::kAccept4) == 2);
 }
 
-TEST_CASE("the system's clock is offset by as much as the test says") {
+TEST_CASE("the system's clock is offset by the time that the test sets") {
   transport::Scheduler scheduler;
   faults::FaultControl control;
   constexpr time_t kOffset = 10'000'000;  // s
@@ -39,5 +39,5 @@
   REQUIRE(run_until(scheduler, [&] { return date.ended(); }));
   const time_t printed = std::stoll(date.printed());
   CHECK(printed >= before + kOffset);
-  CHECK(printed <= time(nullptr) + kOffset + 1);  // it lags behind the clock by a tick
+  CHECK(printed <= time(nullptr) + kOffset + 1);  // time() may lag behind the clock by a tick
 }
--- a/tests/faults/faulty_program.hpp
+++ b/tests/faults/faulty_program.hpp
@@ -1,4 +1,4 @@
-// The real program with faults preloaded, between stand-in nodes and clients on loopback.
+// The real program with the fault library preloaded, connected on loopback to simulated nodes and clients.
 #pragma once
 
 #include <cstdint>
@@ -16,43 +16,43 @@
 
 namespace hareramp::faults {
 
-// What became of a number of requests. Every one of them counts once.
+// The outcomes of a number of requests. Each request counts once.
 struct Answers {
-  int completed = 0;  // 200, with the whole body
+  int completed = 0;  // 200, with the complete body
   int rejected = 0;   // 503
   int failed = 0;     // 500
-  int lost = 0;       // the connection ended, or its time was over, without a whole answer
-  int malformed = 0;  // a second answer, or something else behind the first
+  int lost = 0;       // the connection ended or timed out without a complete answer
+  int malformed = 0;  // a second answer, other data after the first one, or an unexpected answer
   bool operator==(const Answers&) const = default;
-  int all() const { return completed + rejected + failed + lost + malformed; }
-  Answers& operator+=(const Answers& more);
+  int total() const { return completed + rejected + failed + lost + malformed; }
+  Answers& operator+=(const Answers& other);
 };
-std::ostream& operator<<(std::ostream& to, const Answers& answers);
+std::ostream& operator<<(std::ostream& stream, const Answers& answers);
 
 class FaultyProgram {
  public:
-  // The scheduler is that of the test; it runs the stand-ins as well.
+  // The scheduler is the test's; it also runs the simulated nodes and clients.
   explicit FaultyProgram(transport::Scheduler& scheduler);
   ~FaultyProgram();
   FaultyProgram(const FaultyProgram&) = delete;
   FaultyProgram& operator=(const FaultyProgram&) = delete;
 
-  // Waits until the program serves.
-  bool serves();
-  // Sends so many requests, each on a connection of its own, with so many seconds from one to the next, and
-  // waits for what becomes of them.
-  Answers answers(int requests, const std::string& request_class = "segment", double spacing = 0);
-  // Sends requests by fours until a whole group is completed; false if that takes too long.
-  bool recovers();
+  // Waits until the program serves; false if it does not start.
+  bool wait_until_serving();
+  // Sends requests, each on its own connection and `spacing` seconds after the one before, and waits for
+  // their outcomes.
+  Answers send_requests(int count, const std::string& request_class = "segment", double spacing = 0);
+  // Sends groups of four requests until all four of a group are completed; false if that takes too long.
+  bool wait_until_recovered();
   bool running() { return !process.ended(); }
-  // Asks it to leave, and waits until it has; false if it does not end well.
-  bool stops();
-  // One of the figures that the program prints when it is asked to.
+  // Sends SIGTERM and waits until the program has exited; false if its exit status is not 0.
+  bool shut_down();
+  // The value of one of the counters that the program prints on SIGUSR1.
   std::uint64_t counter(const std::string& name);
-  // Requests that came to the nodes, all together.
-  std::uint64_t requests_run() const;
-  // The system calls of all kinds that it has made.
-  std::uint64_t calls() const;
+  // The number of requests that all nodes together have received.
+  std::uint64_t node_requests() const;
+  // The number of system calls of all kinds that the program has made.
+  std::uint64_t system_calls() const;
 
   transport::Scheduler& scheduler;
   FaultControl faults;
@@ -63,11 +63,13 @@
  private:
   static std::vector<std::unique_ptr<rig::Node>> make_nodes(transport::Scheduler& scheduler);
   std::string write_configuration() const;
-  static transport::Task<> request(FaultyProgram& self, std::string request_class, double at, Answers& into);
-  static transport::Task<Answers> ask(FaultyProgram& self, std::string request_class, std::uint64_t number);
+  static transport::Task<> send_request_at(FaultyProgram& self, std::string request_class, double time,
+                                           Answers& answers);
+  static transport::Task<Answers> send_request(FaultyProgram& self, std::string request_class,
+                                               std::uint64_t number);
 
   std::string configuration_;
-  std::uint64_t requests_made_ = 0;
+  std::uint64_t requests_sent_ = 0;
 
  public:
   rig::Process process;
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -1,3 +1,3 @@
-// The entry of every test program.
+// The main function of every test program.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
