--- a/examples/toy_server.cpp
+++ b/examples/toy_server.cpp
@@ -69,7 +69,7 @@
     for (auto step = protocol::HttpParser::Step::kMore; step != protocol::HttpParser::Step::kDone;) {
       if (!(co_await socket.read(in, kReadRoom, transport::kNever)).ok()) co_return;
       std::size_t used = 0;
-      step = parser.feed(in.view(), used, asked);
+      step = parser.parse(in.view(), used, asked);
       in.consume(used);
     }
     constexpr std::string_view kPurge = "/purge/";
--- a/experiments/capacity/stream_source.cpp
+++ b/experiments/capacity/stream_source.cpp
@@ -109,9 +109,9 @@
     const auto io = co_await socket.read(in, kReadRoom, Scheduler::now() + kWriteTimeout);
     if (!io.ok()) co_return;
     std::size_t used = 0;
-    step = parser.feed(in.view(), used, request);
+    step = parser.parse(in.view(), used, request);
     in.consume(used);
-    while (step == protocol::HttpParser::Step::kHead) step = parser.feed(in.view(), used, request);
+    while (step == protocol::HttpParser::Step::kHead) step = parser.parse(in.view(), used, request);
   }
   const auto write = [&self, &socket](std::string_view bytes) -> Task<bool> {
     const auto io = co_await socket.write(bytes, Scheduler::now() + kWriteTimeout);
--- a/experiments/fleet_size/traffic.cpp
+++ b/experiments/fleet_size/traffic.cpp
@@ -105,7 +105,7 @@
     auto step = protocol::HttpParser::Step::kHead;
     while (step == protocol::HttpParser::Step::kHead) {
       std::size_t used = 0;
-      step = parser.feed(connection.in.view(), used, head);
+      step = parser.parse(connection.in.view(), used, head);
       connection.in.consume(used);
     }
     if (step == protocol::HttpParser::Step::kDone) co_return head.status;
--- a/experiments/rig/fleet.cpp
+++ b/experiments/rig/fleet.cpp
@@ -516,7 +516,7 @@
     auto step = protocol::HttpParser::Step::kHead;
     while (io.ok() && step == protocol::HttpParser::Step::kHead) {
       std::size_t used = 0;
-      step = parser.feed(in.view(), used, answer);
+      step = parser.parse(in.view(), used, answer);
       in.consume(used);
     }
     if (io.ok() && step == protocol::HttpParser::Step::kMore) continue;
--- a/experiments/rig/world.cpp
+++ b/experiments/rig/world.cpp
@@ -162,7 +162,7 @@
     auto step = protocol::HttpParser::Step::kHead;
     while (step == protocol::HttpParser::Step::kHead) {  // what is behind the head may be here already
       std::size_t used = 0;
-      step = parser.feed(in_.view(), used, answer);
+      step = parser.parse(in_.view(), used, answer);
       in_.consume(used);
     }
     if (step == protocol::HttpParser::Step::kDone) break;
--- a/src/distribution/relay_actor.cpp
+++ b/src/distribution/relay_actor.cpp
@@ -151,7 +151,7 @@
     if (!io.ok()) co_return;
     do {
       std::size_t used = 0;
-      step = parser.feed(in.view(), used, request);
+      step = parser.parse(in.view(), used, request);
       in.consume(used);
     } while (step == protocol::HttpParser::Step::kHead);
   }
--- a/src/distribution/subscription.cpp
+++ b/src/distribution/subscription.cpp
@@ -27,7 +27,7 @@
 // Follows the endpoints, connection after connection, until it is told to stop.
 class Subscription::Connection : public std::enable_shared_from_this<Connection>,
                                  private protocol::HttpHandler,
-                                 private protocol::EventHandler {
+                                 private protocol::SseHandler {
  public:
   explicit Connection(Subscription& owner)
       : owner_(owner), events_(owner.limits_.max_event), slice_over_(owner.scheduler_) {}
@@ -77,9 +77,9 @@
   void body(std::string_view piece) override {
     if (!usable_ || broken_) return;
     const auto take = [this](std::string_view decoded) {
-      return events_.feed(decoded, *this) && slice_.size() <= kEventsInSlice;
+      return events_.parse(decoded, *this) && slice_.size() <= kEventsInSlice;
     };
-    broken_ = decoder_ ? !decoder_->feed(piece, take) : !take(piece);
+    broken_ = decoder_ ? !decoder_->decode(piece, take) : !take(piece);
     if (broken_) owner_.troubled("sends what is no stream of changes");
   }
   void event(std::string_view id, std::string_view data) override {
@@ -92,7 +92,7 @@
 
   Subscription& owner_;
   transport::Socket socket_;
-  protocol::EventParser events_;
+  protocol::SseParser events_;
   std::unique_ptr<protocol::GzipDecoder> decoder_;  // null: the stream comes as it is
   std::vector<Event> slice_;                        // read, and not yet on its way
   transport::Signal slice_over_;
@@ -141,7 +141,7 @@
   if (!sent.ok()) co_return;
   protocol::HttpParser parser(protocol::HttpParser::Message::kResponse,
                               {limits.max_head, std::numeric_limits<std::size_t>::max()});
-  events_ = protocol::EventParser(limits.max_event);
+  events_ = protocol::SseParser(limits.max_event);
   decoder_.reset();
   slice_.clear();
   usable_ = broken_ = false;
@@ -160,7 +160,7 @@
     auto step = protocol::HttpParser::Step::kHead;
     while (step == protocol::HttpParser::Step::kHead) {
       std::size_t used = 0;
-      step = parser.feed(in.view(), used, *this);
+      step = parser.parse(in.view(), used, *this);
       in.consume(used);
     }
     const bool more_waits = io.bytes >= limits.change_stream_read_size;
--- a/src/protocol/content_coding.cpp
+++ b/src/protocol/content_coding.cpp
@@ -45,7 +45,7 @@
 
 GzipDecoder::~GzipDecoder() { inflateEnd(&state_->stream); }
 
-bool GzipDecoder::feed(std::string_view bytes, const std::function<bool(std::string_view)>& consumer) {
+bool GzipDecoder::decode(std::string_view bytes, const std::function<bool(std::string_view)>& consumer) {
   z_stream& stream = state_->stream;
   std::array<char, kChunkBytes> chunk;
   stream.next_in = as_input(bytes);
--- a/src/protocol/content_coding.hpp
+++ b/src/protocol/content_coding.hpp
@@ -23,7 +23,7 @@
 
   // Decodes the bytes and passes the result to the consumer in chunks of a few KB. False: the bytes are not
   // gzip or the consumer returned false; nothing more can be decoded then.
-  bool feed(std::string_view bytes, const std::function<bool(std::string_view chunk)>& consumer);
+  bool decode(std::string_view bytes, const std::function<bool(std::string_view chunk)>& consumer);
 
  private:
   struct State;
--- a/src/protocol/events.cpp
+++ b/src/protocol/events.cpp
@@ -26,7 +26,7 @@
                                                       {"left", EndpointState::kRemoved}};
 }  // namespace
 
-bool EventParser::feed(std::string_view input, EventHandler& handler) {
+bool SseParser::parse(std::string_view input, SseHandler& handler) {
   for (const char c : input) {
     const bool is_lf_of_crlf = after_cr_ && c == '\n';
     after_cr_ = c == '\r';
@@ -41,7 +41,7 @@
   return true;
 }
 
-void EventParser::end_line(EventHandler& handler) {
+void SseParser::end_line(SseHandler& handler) {
   if (line_.empty()) {
     if (has_data_) handler.event(id_, data_);
     data_.clear();
--- a/src/protocol/events.hpp
+++ b/src/protocol/events.hpp
@@ -11,22 +11,22 @@
 namespace hareramp::protocol {
 
 // Receives the parsed events. Views are valid only during the call.
-class EventHandler {
+class SseHandler {
  public:
-  virtual ~EventHandler() = default;
+  virtual ~SseHandler() = default;
   virtual void event(std::string_view id, std::string_view data) = 0;
 };
 
 // Parses a stream of server-sent events; only the fields data and id are used.
-class EventParser {
+class SseParser {
  public:
-  explicit EventParser(std::size_t max_event_bytes) : max_event_bytes_(max_event_bytes) {}
+  explicit SseParser(std::size_t max_event_bytes) : max_event_bytes_(max_event_bytes) {}
   // Parses the next bytes of the stream, cut anywhere. False: an event exceeds the limit, and the rest of the
   // stream can't be read.
-  bool feed(std::string_view input, EventHandler& handler);
+  bool parse(std::string_view input, SseHandler& handler);
 
  private:
-  void end_line(EventHandler& handler);
+  void end_line(SseHandler& handler);
   std::size_t max_event_bytes_;
   std::string line_, id_, data_;
   bool after_cr_ = false, has_data_ = false;
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -85,7 +85,7 @@
   keeps_alive_ = true;
 }
 
-Step HttpParser::feed(std::string_view input, std::size_t& consumed, HttpHandler& handler) {
+Step HttpParser::parse(std::string_view input, std::size_t& consumed, HttpHandler& handler) {
   consumed = 0;
   if (stage_ == Stage::kDone) reset();
   for (;;) {
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -39,7 +39,7 @@
 
   // Continues to parse with the input; consumed is set to the number of bytes that the caller has to remove
   // from its start before the next call.
-  Step feed(std::string_view input, std::size_t& consumed, HttpHandler& handler);
+  Step parse(std::string_view input, std::size_t& consumed, HttpHandler& handler);
 
   // Both are valid once the head has ended.
   bool keeps_alive() const { return keeps_alive_; }
@@ -47,7 +47,7 @@
   // The parser is within a message's head, or before its first byte.
   bool in_head() const { return stage_ == Stage::kStart || stage_ == Stage::kHeaders; }
   // A message has begun and not ended.
-  bool begun() const { return stage_ != Stage::kDone && (stage_ != Stage::kStart || head_begun_); }
+  bool in_message() const { return stage_ != Stage::kDone && (stage_ != Stage::kStart || head_begun_); }
 
  private:
   enum class Stage { kStart, kHeaders, kSized, kChunkSize, kChunk, kChunkEnd, kTrailers, kUntilEnd, kDone };
--- a/src/protocol/lines.cpp
+++ b/src/protocol/lines.cpp
@@ -68,7 +68,7 @@
 
 std::string format_cancel_command(const RequestId& request) { return "cancel " + request.value + "\r\n"; }
 
-bool AnswerParser::feed(std::string_view input, std::size_t& consumed, AnswerHandler& handler) {
+bool AnswerParser::parse(std::string_view input, std::size_t& consumed, AnswerHandler& handler) {
   consumed = 0;
   for (;;) {
     const std::string_view rest = input.substr(consumed);
--- a/src/protocol/lines.hpp
+++ b/src/protocol/lines.hpp
@@ -42,9 +42,9 @@
 
   // Parses the complete answers at the start of the input; consumed is set to their length. False: an answer
   // is malformed, and nothing that follows it can be parsed.
-  bool feed(std::string_view input, std::size_t& consumed, AnswerHandler& handler);
+  bool parse(std::string_view input, std::size_t& consumed, AnswerHandler& handler);
   // The number of further bytes that the answer in progress needs at least.
-  std::size_t wanted() const { return missing_bytes_; }
+  std::size_t missing_bytes() const { return missing_bytes_; }
   // The size of the answer that is being passed to the handler, line and body.
   std::size_t answer_bytes() const { return answer_bytes_; }
 
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -68,8 +68,8 @@
   if (closing_) return Standing::kLingering;
   // The first request of a client that means well is on its way when it connects, as the next may be now.
   if (now - moved_at_ < listener_.limits_.first_request_grace) return Standing::kStays;
-  if (!shown_) return parser_.begun() ? Standing::kShownPart : Standing::kShownNothing;
-  return parser_.begun() || in_.size() > 0 ? Standing::kStays : Standing::kIdle;
+  if (!shown_) return parser_.in_message() ? Standing::kShownPart : Standing::kShownNothing;
+  return parser_.in_message() || in_.size() > 0 ? Standing::kStays : Standing::kIdle;
 }
 
 bool ClientConnection::may_go() const { return socket_.unacknowledged() == 0 && !has_request_unread(); }
@@ -77,7 +77,7 @@
 bool ClientConnection::client_has_closed() const { return has_closed(socket_); }
 
 bool ClientConnection::has_request_unread() const {
-  return !closing_ && !parser_.begun() && has_unread(socket_);
+  return !closing_ && !parser_.in_message() && has_unread(socket_);
 }
 
 ClientConnection::ClientConnection(ClientListener& listener, transport::Socket socket)
@@ -132,7 +132,7 @@
       co_await self->resumed_.wait();  // the open request keeps its answer; what follows is read after it
     else if (self->closing_)
       break;
-    else if (self->parser_.begun() || has_unread(self->socket_))
+    else if (self->parser_.in_message() || has_unread(self->socket_))
       self->answer_at_once(kRejectedAnswer);
     else
       self->finish();
@@ -149,7 +149,7 @@
     }
     const bool lingers = closing_ && !busy_;
     const Seconds patience =
-        parser_.begun() || !shown_ ? limits.request_read_timeout : limits.client_idle_timeout;
+        parser_.in_message() || !shown_ ? limits.request_read_timeout : limits.client_idle_timeout;
     const IoResult io =
         co_await socket_.read(in_, limits.read_size, lingers ? linger_until_ : moved_at_ + patience);
     if (ended_) break;
@@ -160,7 +160,7 @@
         if (Scheduler::now() >= linger_until_) break;
       } else if (Scheduler::now() < moved_at_ + patience) {
         continue;  // something was answered meanwhile
-      } else if (parser_.begun()) {
+      } else if (parser_.in_message()) {
         refuse(408);
       } else if (!has_unread(socket_)) {
         finish();
@@ -171,7 +171,7 @@
     // Guards against one that sends on for ever after a refusal, also where it never reads it. What it had to
     // send is taken for a while: a connection closed with bytes unread would destroy the answer on its way.
     if (closing_ && !busy_ && Scheduler::now() >= linger_until_) break;
-    if (closing_ || (shown_ && !parser_.begun())) moved_at_ = Scheduler::now();
+    if (closing_ || (shown_ && !parser_.in_message())) moved_at_ = Scheduler::now();
     advance();
   }
 }
@@ -190,7 +190,7 @@
   if (closing_ && !busy_) in_.consume(in_.size());  // nothing that follows counts
   while (!busy_ && !closing_ && !ended_ && in_.size() > 0) {
     std::size_t used = 0;
-    const auto step = parser_.feed(in_.view(), used, *this);
+    const auto step = parser_.parse(in_.view(), used, *this);
     in_.consume(used);
     request_bytes_ += used;
     switch (step) {
@@ -388,7 +388,7 @@
 }
 
 bool ClientConnection::make_way() {
-  if (!closing_ && parser_.begun()) answer_at_once(kRejectedAnswer);
+  if (!closing_ && parser_.in_message()) answer_at_once(kRejectedAnswer);
   if (ended_) return true;
   if (closing_ && socket_.unacknowledged() > 0) return false;
   leave();
@@ -397,7 +397,7 @@
 
 void ClientConnection::close_unless_busy() {
   if (busy_ || closing_ || has_request_unread()) return;
-  if (parser_.begun())
+  if (parser_.in_message())
     answer_at_once(kRejectedAnswer);
   else
     finish();
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -475,7 +475,7 @@
   pump(link);
   settle(link);
   while (link->state == UpstreamConnection::State::kUp) {
-    const std::size_t room = std::max(limits_.read_size, link->parser.wanted());
+    const std::size_t room = std::max(limits_.read_size, link->parser.missing_bytes());
     // Guards against an answer that stops short: nothing behind it on this connection can be read any more.
     const bool amid = link->in.size() > 0;
     const IoResult io = co_await link->socket.read(
@@ -485,7 +485,7 @@
     link->heard_at = Scheduler::now();
     link->suspect = false;
     std::size_t used = 0;
-    const bool readable = link->parser.feed(link->in.view(), used, *link);
+    const bool readable = link->parser.parse(link->in.view(), used, *link);
     link->in.consume(used);
     if (readable) continue;
     ++counters_.bad_answers;
--- a/tests/distribution/relay_test.cpp
+++ b/tests/distribution/relay_test.cpp
@@ -19,7 +19,7 @@
 std::string decoded(const std::string& compressed) {
   protocol::GzipDecoder decoder;
   std::string plain;
-  REQUIRE(decoder.feed(compressed, [&](std::string_view piece) {
+  REQUIRE(decoder.decode(compressed, [&](std::string_view piece) {
     plain += piece;
     return true;
   }));
@@ -172,7 +172,7 @@
     rig.changes({numbered_change(number, node_members("a", false))});
     rig.tick();
   }
-  struct Times : protocol::EventHandler {
+  struct Times : protocol::SseHandler {
     void event(std::string_view, std::string_view data) override {
       const auto read = read_change(*protocol::Json::parse(data));
       if (read.purge) times.push_back(read.purge->unix_ms);
@@ -183,7 +183,7 @@
   for (const RelayEffect& effect : rig.relay.step(rig.now, SubscriberArrived{1, 0, false})) (void)effect;
   for (const RelayEffect& effect : rig.relay.step(rig.now, Ticked{true}))
     if (const auto* give = std::get_if<Give>(&effect)) given += *give->bytes;
-  protocol::EventParser(1 << 20).feed(given, times);
+  protocol::SseParser(1 << 20).parse(given, times);
   CHECK(times.times == std::vector<double>{(kUnix + 1) * 1000, (kUnix - 3600) * 1000});
   rig.pass(9.9);
   CHECK(rig.relay.live_purges() == 2);
--- a/tests/distribution/stream.hpp
+++ b/tests/distribution/stream.hpp
@@ -29,9 +29,9 @@
 }
 
 // A director as far as the stream goes.
-class StreamReader : public protocol::EventHandler {
+class StreamReader : public protocol::SseHandler {
  public:
-  void read(std::string_view bytes) { parser_.feed(bytes, *this); }
+  void read(std::string_view bytes) { parser_.parse(bytes, *this); }
   void event(std::string_view, std::string_view data) override {
     const protocol::Json change = *protocol::Json::parse(data);
     const long long number = *change["seq"].integer();
@@ -55,7 +55,7 @@
   std::map<std::string, std::string> nodes;
 
  private:
-  protocol::EventParser parser_{1 << 20};
+  protocol::SseParser parser_{1 << 20};
 };
 
 }  // namespace hareramp
--- a/tests/distribution/subscription_test.cpp
+++ b/tests/distribution/subscription_test.cpp
@@ -159,10 +159,10 @@
 
 TEST_CASE("gzip: what is no gzip, or decodes to more than is taken, ends the decoder") {
   const auto take_all = [](std::string_view) { return true; };
-  CHECK_FALSE(protocol::GzipDecoder().feed("plain words", take_all));
+  CHECK_FALSE(protocol::GzipDecoder().decode("plain words", take_all));
   std::size_t taken = 0;
   const std::string bomb = protocol::gzip(std::string(10'000'000, 'x'));
-  CHECK_FALSE(protocol::GzipDecoder().feed(bomb, [&](std::string_view piece) {
+  CHECK_FALSE(protocol::GzipDecoder().decode(bomb, [&](std::string_view piece) {
     taken += piece.size();
     return taken < 100'000;
   }));
--- a/tests/faults/faulty_program.cpp
+++ b/tests/faults/faulty_program.cpp
@@ -60,7 +60,7 @@
   auto step = protocol::HttpParser::Step::kHead;
   while (step == protocol::HttpParser::Step::kHead) {
     std::size_t consumed = 0;
-    step = parser.feed(received, consumed, response);
+    step = parser.parse(received, consumed, response);
     received.remove_prefix(consumed);
   }
   if (step == protocol::HttpParser::Step::kMore) {
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -41,7 +41,7 @@
     unconsumed += text.substr(at, piece_size);
     for (;;) {
       std::size_t consumed = 0;
-      const auto step = parser.feed(unconsumed, consumed, handler);
+      const auto step = parser.parse(unconsumed, consumed, handler);
       unconsumed.erase(0, consumed);
       if (step == HttpParser::Step::kHead) continue;
       if (step == HttpParser::Step::kMore) break;
@@ -51,7 +51,7 @@
       if (unconsumed.empty()) break;
     }
   }
-  return handler.trace + (parser.begun() ? " unfinished\n" : "");
+  return handler.trace + (parser.in_message() ? " unfinished\n" : "");
 }
 
 // Checks that the trace is the same in whatever pieces the text arrives, and returns it.
@@ -85,14 +85,14 @@
   for (std::size_t at = 0; at < text.size(); at += piece_size) {
     unconsumed += text.substr(at, piece_size);
     std::size_t consumed = 0;
-    const bool parsed = parser.feed(unconsumed, consumed, handler);
+    const bool parsed = parser.parse(unconsumed, consumed, handler);
     unconsumed.erase(0, consumed);
     if (!parsed) return handler.trace + "malformed\n";
   }
   return handler.trace + (unconsumed.empty() ? "" : "unfinished\n");
 }
 
-struct EventTrace : EventHandler {
+struct EventTrace : SseHandler {
   std::string trace;
   void event(std::string_view id, std::string_view data) override {
     trace += "event " + std::string(id) + ": " + std::string(data) + "\n";
@@ -101,10 +101,10 @@
 
 // As answers(), for server-sent events.
 std::string events(const std::string& text, std::size_t piece_size) {
-  EventParser parser(60);
+  SseParser parser(60);
   EventTrace handler;
   for (std::size_t at = 0; at < text.size(); at += piece_size)
-    if (!parser.feed(std::string_view(text).substr(at, piece_size), handler))
+    if (!parser.parse(std::string_view(text).substr(at, piece_size), handler))
       return handler.trace + "too long\n";
   return handler.trace;
 }
