--- a/src/distribution/subscription.cpp
+++ b/src/distribution/subscription.cpp
@@ -78,7 +78,7 @@
   void body(std::string_view chunk) override {
     if (!status_ok_ || broken_) return;
     const auto parse = [this](std::string_view decoded) {
-      return event_parser_.feed(decoded, *this) && batch_.size() <= kMaxEventsPerBatch;
+      return event_parser_.parse(decoded, *this) && batch_.size() <= kMaxEventsPerBatch;
     };
     broken_ = decoder_ ? !decoder_->decode(chunk, parse) : !parse(chunk);
     if (broken_) owner_.report_failure("the response body is not a valid change stream");
