--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -112,8 +112,8 @@
 };
 
 struct Exporter::Stream {
-  Stream(Protocol which, const ipfix::EncoderSettings& settings, ipfix::Encoder::Done done, std::size_t bytes,
-         MessageNumber first)
+  Stream(Protocol which, const ipfix::EncoderSettings& settings, ipfix::Encoder::MessageHandler done,
+         std::size_t bytes, MessageNumber first)
       : protocol(which), encoder(settings, std::move(done)), backlog(bytes, first), on_disk(first) {}
 
   const Protocol protocol;
--- a/src/flow/table.cpp
+++ b/src/flow/table.cpp
@@ -68,7 +68,7 @@
     if (flows_[at].label == label) return at;
   if (live_flows_ >= bounds_.flows) {
     ++evicted_;
-    end(now, told_.first, EndReason::kNoRoom);
+    end(now, told_.first, EndReason::kLackOfResources);
   }
   Place flow;
   if (free_flows_.empty()) {
@@ -175,7 +175,7 @@
   Record record;
   record.initiator = connection.ends.initiator;
   record.responder = connection.ends.responder;
-  record.part = connection.ends.part;
+  record.node_role = connection.ends.part;
   record.node = connection.ends.node;
   record.label = flow.label;
   record.id = flow.id;
--- a/src/flows_tool/archive.cpp
+++ b/src/flows_tool/archive.cpp
@@ -427,7 +427,7 @@
     while (rows.step()) {
       const std::string exporter = rows.text(0);
       const std::int64_t domain = rows.whole(1);
-      if (!query.part.empty() && query.part != part_name(static_cast<int>(rows.whole(5)))) continue;
+      if (!query.node_role.empty() && query.node_role != part_name(static_cast<int>(rows.whole(5)))) continue;
       const auto named = [&](std::int64_t kind, int column) -> std::string {
         if (rows.whole(column) == 0) return "-";
         const auto found = names.find({exporter, domain, kind, rows.whole(column)});
@@ -445,13 +445,13 @@
           case By::kRequestClass:
             one.keys.push_back(named(3, 3));
             break;
-          case By::kPart:
+          case By::kNodeRole:
             one.keys.push_back(part_name(static_cast<int>(rows.whole(5))));
             break;
           case By::kOutcome:
             one.keys.push_back(outcome_name(static_cast<int>(rows.whole(6))));
             break;
-          case By::kNote:
+          case By::kAnswerDetail:
             one.keys.push_back(note_name(static_cast<int>(rows.whole(7))));
             break;
           case By::kExporter:
--- a/src/flows_tool/archive.hpp
+++ b/src/flows_tool/archive.hpp
@@ -157,7 +157,7 @@
 std::vector<std::string> partitions(const std::string& directory);
 
 // What a report groups by.
-enum class By { kLocation, kRequestClass, kNode, kPart, kOutcome, kNote, kExporter, kTime };
+enum class By { kLocation, kRequestClass, kNode, kNodeRole, kOutcome, kAnswerDetail, kExporter, kTime };
 
 struct ReportLine {
   std::vector<std::string> keys;
@@ -169,7 +169,7 @@
   std::vector<By> by;
   double from = 0, to = 1e12;  // Unix seconds of a record's end
   double interval = 3600;      // s, for kTime
-  std::string part;            // only this: client, edge, parent, origin; empty: all
+  std::string node_role;       // only this: client, edge, parent, origin; empty: all
 };
 
 std::vector<ReportLine> report(const std::string& directory, const ReportQuery& query);
--- a/src/flows_tool/main.cpp
+++ b/src/flows_tool/main.cpp
@@ -77,8 +77,8 @@
 }
 
 const std::map<std::string, By> kBy = {{"depot", By::kLocation},    {"grade", By::kRequestClass},
-                                       {"node", By::kNode},         {"part", By::kPart},
-                                       {"outcome", By::kOutcome},   {"note", By::kNote},
+                                       {"node", By::kNode},         {"part", By::kNodeRole},
+                                       {"outcome", By::kOutcome},   {"note", By::kAnswerDetail},
                                        {"exporter", By::kExporter}, {"time", By::kTime}};
 
 std::string quoted(const std::string& text) {  // RFC 4180
@@ -103,7 +103,7 @@
   query.from = given["from"].as<double>();
   query.to = given["to"].as<double>();
   query.interval = given["interval"].as<double>();
-  query.part = given["part"].as<std::string>();
+  query.node_role = given["part"].as<std::string>();
   const std::string form = given["format"].as<std::string>();
   if (form != "table" && form != "csv" && form != "json")
     throw BadCall(fmt::format("--format: '{}' is none of table, csv, json", form));
--- a/src/ipfix/encoder.cpp
+++ b/src/ipfix/encoder.cpp
@@ -117,9 +117,9 @@
   out.own(kLocationReference, r.label.location.value);
   out.own(kNodeReference, r.node.value);
   out.own(kRequestClassReference, r.label.request_class.value);
-  out.own(kNodeRole, static_cast<std::uint8_t>(r.part));
+  out.own(kNodeRole, static_cast<std::uint8_t>(r.node_role));
   out.own(kRequestOutcome, static_cast<std::uint8_t>(r.label.outcome));
-  out.own(kCacheNote, r.label.note);
+  out.own(kCacheNote, r.label.answer_detail);
   out.own(kRequestDeltaCount, r.requests);
 }
 
@@ -199,9 +199,9 @@
   out.iana(own(kLocationReference), r.label.location.value);
   out.iana(own(kNodeReference), r.node.value);
   out.iana(own(kRequestClassReference), r.label.request_class.value);
-  out.iana(own(kNodeRole), static_cast<std::uint8_t>(r.part));
+  out.iana(own(kNodeRole), static_cast<std::uint8_t>(r.node_role));
   out.iana(own(kRequestOutcome), static_cast<std::uint8_t>(r.label.outcome));
-  out.iana(own(kCacheNote), r.label.note);
+  out.iana(own(kCacheNote), r.label.answer_detail);
   out.iana(own(kRequestDeltaCount), r.requests);
   out.iana(static_cast<std::uint16_t>(kOwn9 + 42), static_cast<std::uint8_t>(r.reason));
 }
@@ -257,7 +257,7 @@
 
 }  // namespace
 
-Encoder::Encoder(const EncoderSettings& settings, Done done)
+Encoder::Encoder(const EncoderSettings& settings, MessageHandler done)
     : settings_(settings), done_(std::move(done)), sequence_(settings.first_sequence) {}
 
 std::string Encoder::header(Seconds now, std::uint32_t sequence) const {
--- a/src/ipfix/encoder.hpp
+++ b/src/ipfix/encoder.hpp
@@ -43,9 +43,9 @@
 
 class Encoder {
  public:
-  using Done = std::function<void(Message)>;
+  using MessageHandler = std::function<void(Message)>;
   // done gets each message as it is full, or at flush().
-  Encoder(const EncoderSettings& settings, Done done);
+  Encoder(const EncoderSettings& settings, MessageHandler done);
 
   void flow(Seconds now, const Record& record);
   // name is cut to what fits into a message together with nothing else; names here have 64 bytes at most.
@@ -72,7 +72,7 @@
   std::string header(Seconds now, std::uint32_t sequence) const;
 
   EncoderSettings settings_;
-  Done done_;
+  MessageHandler done_;
   Message message_;
   std::size_t set_at_ = 0;  // where the open set begins; 0: none is open
   std::uint16_t set_ = 0;
--- a/src/ipfix/record.hpp
+++ b/src/ipfix/record.hpp
@@ -26,15 +26,16 @@
 enum class NodeRole : std::uint8_t { kUnknown, kClient, kEdge, kParent, kOrigin };
 // kNone: octets that belong to no request. For an attempt: completed, may be repeated without harm, no
 // promise, called off.
-enum class Outcome : std::uint8_t { kNone, kCompleted, kBounced, kForfeited, kLeft };
+enum class Outcome : std::uint8_t { kNone, kCompleted, kRejected, kFailed, kCancelled };
 // flowEndReason, RFC 7012 element 136.
-enum class EndReason : std::uint8_t { kIdle = 1, kActive = 2, kEnd = 3, kForced = 4, kNoRoom = 5 };
+enum class EndReason : std::uint8_t { kIdle = 1, kActive = 2, kEnd = 3, kForced = 4, kLackOfResources = 5 };
 
 // What divides the traffic of one connection into flows.
 struct Label {
   NameNumber request_class, location;  // depot: the network of the client that asked
   Outcome outcome = Outcome::kNone;
-  std::uint8_t note = 0;  // where the answer came from, in the order of the protocol's notes; 0: not told
+  std::uint8_t answer_detail =
+      0;  // where the answer came from, in the order of the protocol's notes; 0: not told
   bool operator==(const Label&) const = default;
 };
 
@@ -49,7 +50,7 @@
 
 struct Record {
   Endpoint initiator, responder;
-  NodeRole part = NodeRole::kUnknown;
+  NodeRole node_role = NodeRole::kUnknown;
   NameNumber node;
   Label label;
   std::uint64_t id = 0;        // the same in all records of a flow
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -252,12 +252,12 @@
     std::string more;
     const auto pause = static_cast<long long>(std::ceil(retry_after * 1000));
     if (pause > 0) more = "X-Pushback-Ms: " + std::to_string(pause) + "\r\n";
-    answer(503, more, "", ipfix::Outcome::kBounced);
+    answer(503, more, "", ipfix::Outcome::kRejected);
   });
 }
 
 void ClientConnection::failed(const RequestId& request) {
-  post_answer(request, kFailedAnswer, [this] { answer(500, "", "", ipfix::Outcome::kForfeited); });
+  post_answer(request, kFailedAnswer, [this] { answer(500, "", "", ipfix::Outcome::kFailed); });
 }
 
 // A request that can't be read: a plain answer, and nothing that follows on the connection counts.
@@ -287,7 +287,7 @@
     begin_answer(status, more, std::move(bytes), outcome, note);
   } catch (...) {  // no memory for it
     listener_.report(std::current_exception());
-    const bool may_have_run = outcome == ipfix::Outcome::kCompleted || outcome == ipfix::Outcome::kForfeited;
+    const bool may_have_run = outcome == ipfix::Outcome::kCompleted || outcome == ipfix::Outcome::kFailed;
     answer_at_once(may_have_run ? kFailedAnswer : kRejectedAnswer);
   }
 }
@@ -410,7 +410,7 @@
     forwarded_request_->client_gone = true;  // at once, ahead of what is posted to the module
   const bool owed = std::exchange(owed_, false);
   try {
-    if (owed) label(ipfix::Outcome::kLeft, AnswerDetail::kNone);
+    if (owed) label(ipfix::Outcome::kCancelled, AnswerDetail::kNone);
     if (owed) listener_.module_.request_left(request_);
   } catch (...) {  // no memory: the request ends by its deadline, unheard
     listener_.report(std::current_exception());
--- a/src/routing/client_request.cpp
+++ b/src/routing/client_request.cpp
@@ -137,7 +137,7 @@
   // Guards against clients that ask and do not read: their answers must not fill the memory. Nothing has run.
   if (listener_.waiting_answers_ > listener_.limits_.max_pending_answers) {
     listener_.module_.turned_back();
-    answer(503, "", "", ipfix::Outcome::kBounced);
+    answer(503, "", "", ipfix::Outcome::kRejected);
     return true;
   }
   // Read out of what came before the client went: nobody waits for it.
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -334,12 +334,12 @@
                         std::size_t octets_read) {
   if (!link.tap) return;
   using ipfix::Outcome;
-  Outcome outcome = Outcome::kForfeited;
+  Outcome outcome = Outcome::kFailed;
   if (result == Result::kCompleted) outcome = Outcome::kCompleted;
-  if (result == Result::kCancelled) outcome = Outcome::kLeft;
+  if (result == Result::kCancelled) outcome = Outcome::kCancelled;
   if (result == Result::kRejected || result == Result::kNotSent || result == Result::kAbsent ||
       result == Result::kUnreachable)
-    outcome = Outcome::kBounced;
+    outcome = Outcome::kRejected;
   const std::size_t written = std::exchange(open.octets, 0);
   if (written + octets_read == 0) return;  // nothing of it moved, or it is booked already
   const ipfix::Label label{open.request_class, open.location, outcome, static_cast<std::uint8_t>(note)};
--- a/tests/flow/encoder_test.cpp
+++ b/tests/flow/encoder_test.cpp
@@ -26,14 +26,14 @@
     r.initiator.address[i] = static_cast<std::uint8_t>(i + 1),
     r.responder.address[i] = static_cast<std::uint8_t>(0xf0 + i);
   r.initiator.port = 40000, r.responder.port = 443;
-  r.part = NodeRole::kParent;
+  r.node_role = NodeRole::kParent;
   r.node = {0xfedcba98u};
-  r.label = {{11}, {22}, Outcome::kForfeited, 7};
+  r.label = {{11}, {22}, Outcome::kFailed, 7};
   r.start = 1796147672.125, r.end = 1796147680.5;
   r.delta.octets = {1, 0x123456789abcull}, r.delta.packets = {2, 3}, r.delta.wire = {4, 5};
   r.total.octets = {0xffffffffffffull, 6};
   r.requests = 9;
-  r.reason = EndReason::kNoRoom;
+  r.reason = EndReason::kLackOfResources;
   return r;
 }
 
--- a/tests/flow/export_test.cpp
+++ b/tests/flow/export_test.cpp
@@ -122,7 +122,7 @@
   }
   std::map<std::string, Sums> sums(std::vector<By> by, const char* part = "") const {
     flows_tool::ReportQuery query;
-    query.by = std::move(by), query.part = part;
+    query.by = std::move(by), query.node_role = part;
     std::map<std::string, Sums> all;
     for (const auto& line : flows_tool::report(folder + "/archive", query))
       all[fmt::format("{}", fmt::join(line.keys, " "))] = {line.octets[0],  line.octets[1], line.packets[0],
@@ -134,7 +134,7 @@
   std::uint64_t records_kept() const {
     try {
       std::uint64_t records = 0;
-      for (const auto& [key, sum] : sums({By::kPart})) records += sum.records;
+      for (const auto& [key, sum] : sums({By::kNodeRole})) records += sum.records;
       return records;
     } catch (const std::exception&) {
       return 0;
@@ -235,7 +235,7 @@
   scene.settle();
   auto counters = scene.director->counters();
   Sums clients, nodes;
-  for (const auto& [part, sum] : scene.sums({By::kPart})) {
+  for (const auto& [part, sum] : scene.sums({By::kNodeRole})) {
     Sums& to = part == "client" ? clients : nodes;
     to.out += sum.out, to.in += sum.in, to.flows += sum.flows;
   }
--- a/tests/flow/table_test.cpp
+++ b/tests/flow/table_test.cpp
@@ -40,7 +40,7 @@
                 sum.packets[way] == r.total.packets[way] && sum.wire[way] == r.total.wire[way];
     }
     requests += r.requests;
-    forced_early += r.reason == EndReason::kNoRoom;
+    forced_early += r.reason == EndReason::kLackOfResources;
     if (traces)
       trace += fmt::format(
           "flow {} grade {} reason {} from {:.1f} to {:.1f}: {}/{} octets, {}/{} packets, {} requests\n",
