--- a/src/ipfix/elements.cpp
+++ b/src/ipfix/elements.cpp
@@ -2,7 +2,7 @@
 
 namespace hareramp::ipfix {
 
-const std::array<OwnElement, 13> kOwnElements = {{
+const std::array<EnterpriseElement, 13> kEnterpriseElements = {{
     {kLocationReference, "depotReference", DataType::kUnsigned32, Semantics::kIdentifier, Units::kNone},
     {kNodeReference, "nodeReference", DataType::kUnsigned32, Semantics::kIdentifier, Units::kNone},
     {kRequestClassReference, "gradeReference", DataType::kUnsigned32, Semantics::kIdentifier, Units::kNone},
--- a/src/ipfix/elements.hpp
+++ b/src/ipfix/elements.hpp
@@ -1,5 +1,5 @@
 // The information elements that the director exports, with number, size, type and source. The enterprise
-// elements are our own; RFC 5610 records tell collectors of them. No I/O.
+// elements are specific to hareramp; RFC 5610 records describe them to collectors. No I/O.
 #pragma once
 
 #include <array>
@@ -10,12 +10,13 @@
 
 // Private enterprise number of RFC 5103: an IANA element of the reverse direction.
 constexpr std::uint32_t kReversePen = 29305;
-constexpr std::uint16_t kVariable = 65535;  // a length told in each record, RFC 7011, 7
+// Field length in a template that means: each record carries the length of this field (RFC 7011, 7).
+constexpr std::uint16_t kVariableLength = 65535;
 
 // One field of a template.
 struct Field {
   std::uint16_t id = 0, length = 0;
-  std::uint32_t enterprise = 0;  // 0: IANA
+  std::uint32_t enterprise = 0;  // private enterprise number; 0: an element of the IANA registry
   bool operator==(const Field&) const = default;
 };
 
@@ -32,7 +33,8 @@
 // informationElementUnits, RFC 5610, 3.5
 enum class Units : std::uint16_t { kNone = 0, kOctets = 2, kPackets = 3 };
 
-struct OwnElement {
+// An enterprise element of hareramp, as RFC 5610 describes it.
+struct EnterpriseElement {
   std::uint16_t id;
   std::string_view name;
   DataType type;
@@ -40,8 +42,8 @@
   Units units;
 };
 
-// Numbers under the operator's enterprise number. A number, once given out, keeps its meaning.
-enum Own : std::uint16_t {
+// Element numbers under the operator's enterprise number. The meaning of an assigned number never changes.
+enum ElementId : std::uint16_t {
   kLocationReference = 1,
   kNodeReference = 2,
   kRequestClassReference = 3,
@@ -57,6 +59,6 @@
   kRunNumber = 13
 };
 
-extern const std::array<OwnElement, 13> kOwnElements;
+extern const std::array<EnterpriseElement, 13> kEnterpriseElements;
 
 }  // namespace hareramp::ipfix
--- a/src/ipfix/encoder.cpp
+++ b/src/ipfix/encoder.cpp
@@ -16,15 +16,15 @@
 namespace endian = boost::endian;
 
 template <class Number>
-void put(std::string& to, Number value) {
+void append_number(std::string& buffer, Number value) {
   unsigned char bytes[sizeof(Number)];
   endian::endian_store<Number, sizeof(Number), endian::order::big>(bytes, value);
-  to.append(reinterpret_cast<const char*>(bytes), sizeof bytes);
+  buffer.append(reinterpret_cast<const char*>(bytes), sizeof bytes);
 }
 template <class Number>
-void put_at(std::string& to, std::size_t at, Number value) {
+void store_number_at(std::string& buffer, std::size_t at, Number value) {
   endian::endian_store<Number, sizeof(Number), endian::order::big>(
-      reinterpret_cast<unsigned char*>(to.data() + at), value);
+      reinterpret_cast<unsigned char*>(buffer.data() + at), value);
 }
 
 std::uint64_t milliseconds(Seconds unix_time) {
@@ -34,11 +34,11 @@
   return static_cast<std::uint32_t>(static_cast<std::uint64_t>(std::max(0.0, unix_time)));
 }
 
-// The fields of each kind of record stand once, in the functions below, and are read in two ways: as the
-// template's fields and as a record's bytes. So the two can't come apart.
-class Fields {
+// The functions *_fields below list the fields of each kind of record once. A TemplateWriter turns them into
+// a template and a RecordWriter into an encoded record, so that a template and its records can't disagree.
+class TemplateWriter {
  public:
-  explicit Fields(std::uint32_t own) : own_(own) {}
+  explicit TemplateWriter(std::uint32_t enterprise_number) : enterprise_number_(enterprise_number) {}
   template <class Number>
   void iana(std::uint16_t id, Number) {
     all.push_back({id, sizeof(Number), 0});
@@ -48,112 +48,115 @@
     all.push_back({id, sizeof(Number), kReversePen});
   }
   template <class Number>
-  void own(Own id, Number) {
-    all.push_back({id, sizeof(Number), own_});
+  void enterprise(ElementId id, Number) {
+    all.push_back({id, sizeof(Number), enterprise_number_});
   }
   void bytes(std::uint16_t id, const std::uint8_t*, std::uint16_t length) { all.push_back({id, length, 0}); }
-  void text(std::uint16_t id, std::string_view) { all.push_back({id, kVariable, 0}); }
-  void own_text(Own id, std::string_view) { all.push_back({id, kVariable, own_}); }
+  void text(std::uint16_t id, std::string_view) { all.push_back({id, kVariableLength, 0}); }
+  void enterprise_text(ElementId id, std::string_view) {
+    all.push_back({id, kVariableLength, enterprise_number_});
+  }
 
   std::vector<Field> all;
 
  private:
-  std::uint32_t own_;
+  std::uint32_t enterprise_number_;
 };
 
-class Bytes {
+class RecordWriter {
  public:
   template <class Number>
   void iana(std::uint16_t, Number value) {
-    put(all, value);
+    append_number(all, value);
   }
   template <class Number>
   void reverse(std::uint16_t, Number value) {
-    put(all, value);
+    append_number(all, value);
   }
   template <class Number>
-  void own(Own, Number value) {
-    put(all, value);
+  void enterprise(ElementId, Number value) {
+    append_number(all, value);
   }
   void bytes(std::uint16_t, const std::uint8_t* at, std::uint16_t length) {
     all.append(reinterpret_cast<const char*>(at), length);
   }
-  void text(std::uint16_t, std::string_view value) {  // RFC 7011, 7: up to 254 bytes behind one of length
+  // A variable-length field of up to 254 bytes, preceded by one byte with its length (RFC 7011, 7).
+  void text(std::uint16_t, std::string_view value) {
     value = value.substr(0, 254);
-    put(all, static_cast<std::uint8_t>(value.size()));
+    append_number(all, static_cast<std::uint8_t>(value.size()));
     all += value;
   }
-  void own_text(Own id, std::string_view value) { text(id, value); }
+  void enterprise_text(ElementId id, std::string_view value) { text(id, value); }
 
   std::string all;
 };
 
-// IANA element numbers, RFC 7012 and the registry it began.
+// Element numbers of the IANA IPFIX registry, which RFC 7012 established.
 template <class Out>
-void flow_fields(Out& out, const Record& r, bool v6) {
-  out.iana(148, r.id);  // flowId
+void flow_fields(Out& out, const Record& record, bool v6) {
+  out.iana(148, record.id);  // flowId
   if (v6) {
-    out.bytes(27, r.initiator.address.data(), 16);  // sourceIPv6Address
-    out.bytes(28, r.responder.address.data(), 16);  // destinationIPv6Address
+    out.bytes(27, record.initiator.address.data(), 16);  // sourceIPv6Address
+    out.bytes(28, record.responder.address.data(), 16);  // destinationIPv6Address
   } else {
-    out.bytes(8, r.initiator.address.data(), 4);   // sourceIPv4Address
-    out.bytes(12, r.responder.address.data(), 4);  // destinationIPv4Address
+    out.bytes(8, record.initiator.address.data(), 4);   // sourceIPv4Address
+    out.bytes(12, record.responder.address.data(), 4);  // destinationIPv4Address
   }
-  out.iana(7, r.initiator.port);                       // sourceTransportPort
-  out.iana(11, r.responder.port);                      // destinationTransportPort
-  out.iana(4, std::uint8_t{6});                        // protocolIdentifier: TCP
-  out.iana(239, std::uint8_t{1});                      // biflowDirection: initiator
-  out.iana(152, milliseconds(r.start));                // flowStartMilliseconds
-  out.iana(153, milliseconds(r.end));                  // flowEndMilliseconds
-  out.iana(136, static_cast<std::uint8_t>(r.reason));  // flowEndReason
-  out.iana(401, r.delta.octets[kForward]);             // transportOctetDeltaCount
-  out.reverse(401, r.delta.octets[kReverse]);
-  out.iana(2, r.delta.packets[kForward]);  // packetDeltaCount
-  out.reverse(2, r.delta.packets[kReverse]);
-  out.iana(1, r.delta.wire[kForward]);  // octetDeltaCount
-  out.reverse(1, r.delta.wire[kReverse]);
-  out.own(kPayloadOctetTotal, r.total.octets[kForward]);
-  out.own(kReversePayloadOctetTotal, r.total.octets[kReverse]);
-  out.own(kLocationReference, r.label.location.value);
-  out.own(kNodeReference, r.node.value);
-  out.own(kRequestClassReference, r.label.request_class.value);
-  out.own(kNodeRole, static_cast<std::uint8_t>(r.node_role));
-  out.own(kRequestOutcome, static_cast<std::uint8_t>(r.label.outcome));
-  out.own(kCacheNote, r.label.answer_detail);
-  out.own(kRequestDeltaCount, r.requests);
+  out.iana(7, record.initiator.port);                       // sourceTransportPort
+  out.iana(11, record.responder.port);                      // destinationTransportPort
+  out.iana(4, std::uint8_t{6});                             // protocolIdentifier: TCP
+  out.iana(239, std::uint8_t{1});                           // biflowDirection: initiator
+  out.iana(152, milliseconds(record.start));                // flowStartMilliseconds
+  out.iana(153, milliseconds(record.end));                  // flowEndMilliseconds
+  out.iana(136, static_cast<std::uint8_t>(record.reason));  // flowEndReason
+  out.iana(401, record.delta.octets[kForward]);             // transportOctetDeltaCount
+  out.reverse(401, record.delta.octets[kReverse]);
+  out.iana(2, record.delta.packets[kForward]);  // packetDeltaCount
+  out.reverse(2, record.delta.packets[kReverse]);
+  out.iana(1, record.delta.wire[kForward]);  // octetDeltaCount
+  out.reverse(1, record.delta.wire[kReverse]);
+  out.enterprise(kPayloadOctetTotal, record.total.octets[kForward]);
+  out.enterprise(kReversePayloadOctetTotal, record.total.octets[kReverse]);
+  out.enterprise(kLocationReference, record.label.location.value);
+  out.enterprise(kNodeReference, record.node.value);
+  out.enterprise(kRequestClassReference, record.label.request_class.value);
+  out.enterprise(kNodeRole, static_cast<std::uint8_t>(record.node_role));
+  out.enterprise(kRequestOutcome, static_cast<std::uint8_t>(record.label.outcome));
+  out.enterprise(kCacheNote, record.label.answer_detail);
+  out.enterprise(kRequestDeltaCount, record.requests);
 }
 
 template <class Out>
 void name_fields(Out& out, NameKind kind, NameNumber number, std::string_view name) {
-  out.own(kNameKind, static_cast<std::uint8_t>(kind));
-  out.own(kNameReference, number.value);
-  out.own_text(kReferenceName, name);
+  out.enterprise(kNameKind, static_cast<std::uint8_t>(kind));
+  out.enterprise(kNameReference, number.value);
+  out.enterprise_text(kReferenceName, name);
 }
 
 template <class Out>
-void not_sent_fields(Out& out, const Endpoint& to, const NotSent& totals) {
-  if (to.v6)
-    out.bytes(212, to.address.data(), 16);  // collectorIPv6Address
+void not_sent_fields(Out& out, const Endpoint& collector, const NotSent& totals) {
+  if (collector.v6)
+    out.bytes(212, collector.address.data(), 16);  // collectorIPv6Address
   else
-    out.bytes(211, to.address.data(), 4);  // collectorIPv4Address
-  out.iana(216, to.port);                  // collectorTransportPort
-  out.iana(166, totals.flows);             // notSentFlowTotalCount
-  out.iana(167, totals.packets);           // notSentPacketTotalCount
-  out.iana(168, totals.octets);            // notSentOctetTotalCount
+    out.bytes(211, collector.address.data(), 4);  // collectorIPv4Address
+  out.iana(216, collector.port);                  // collectorTransportPort
+  out.iana(166, totals.flows);                    // notSentFlowTotalCount
+  out.iana(167, totals.packets);                  // notSentPacketTotalCount
+  out.iana(168, totals.octets);                   // notSentOctetTotalCount
 }
 
 template <class Out>
 void exporter_fields(Out& out, std::uint32_t domain, Seconds started, std::uint64_t messages,
                      std::uint64_t flows, std::uint64_t octets) {
   out.iana(149, domain);                 // observationDomainId
-  out.iana(160, milliseconds(started));  // systemInitTimeMilliseconds: a new one is a new run
+  out.iana(160, milliseconds(started));  // systemInitTimeMilliseconds: another value means another run
   out.iana(41, messages);                // exportedMessageTotalCount
   out.iana(42, flows);                   // exportedFlowRecordTotalCount
   out.iana(40, octets);                  // exportedOctetTotalCount
 }
 
 template <class Out>
-void type_fields(Out& out, std::uint32_t enterprise, const OwnElement& element) {
+void type_fields(Out& out, std::uint32_t enterprise, const EnterpriseElement& element) {
   out.iana(346, enterprise);                                    // privateEnterpriseNumber
   out.iana(303, element.id);                                    // informationElementId
   out.iana(339, static_cast<std::uint8_t>(element.type));       // informationElementDataType
@@ -162,81 +165,82 @@
   out.text(341, element.name);                                  // informationElementName
 }
 
-// NetFlow v9 knows neither enterprise numbers nor reverse elements: octets and packets towards the initiator
-// are OUT_BYTES and OUT_PKTS, times are milliseconds of uptime, and our own elements stand from 57344 on, by
-// agreement with the collector.
-constexpr std::uint16_t kOwn9 = 57344;
-constexpr std::size_t kName9 = 64;
+// NetFlow v9 has neither enterprise numbers nor reverse elements: octets and packets towards the initiator
+// are OUT_BYTES and OUT_PKTS, times are milliseconds of uptime, and hareramp's own elements have the numbers
+// from 57344 on, by agreement with the collector.
+constexpr std::uint16_t kEnterpriseBase9 = 57344;
+constexpr std::size_t kNameBytes9 = 64;  // bytes; v9 has no variable-length fields, so names are padded
 
-struct Times9 {
+struct UptimeRange9 {
   std::uint32_t first, last;
 };
 
 template <class Out>
-void flow_fields9(Out& out, const Record& r, bool v6, Times9 times) {
-  const auto own = [](Own id) { return static_cast<std::uint16_t>(kOwn9 + id); };
-  out.iana(148, r.id);
+void flow_fields9(Out& out, const Record& record, bool v6, UptimeRange9 times) {
+  const auto element_number = [](ElementId id) { return static_cast<std::uint16_t>(kEnterpriseBase9 + id); };
+  out.iana(148, record.id);  // flowId
   if (v6) {
-    out.bytes(27, r.initiator.address.data(), 16);  // IPV6_SRC_ADDR
-    out.bytes(28, r.responder.address.data(), 16);  // IPV6_DST_ADDR
+    out.bytes(27, record.initiator.address.data(), 16);  // IPV6_SRC_ADDR
+    out.bytes(28, record.responder.address.data(), 16);  // IPV6_DST_ADDR
   } else {
-    out.bytes(8, r.initiator.address.data(), 4);   // IPV4_SRC_ADDR
-    out.bytes(12, r.responder.address.data(), 4);  // IPV4_DST_ADDR
+    out.bytes(8, record.initiator.address.data(), 4);   // IPV4_SRC_ADDR
+    out.bytes(12, record.responder.address.data(), 4);  // IPV4_DST_ADDR
   }
-  out.iana(7, r.initiator.port);            // L4_SRC_PORT
-  out.iana(11, r.responder.port);           // L4_DST_PORT
-  out.iana(4, std::uint8_t{6});             // PROTOCOL
-  out.iana(22, times.first);                // FIRST_SWITCHED
-  out.iana(21, times.last);                 // LAST_SWITCHED
-  out.iana(1, r.delta.wire[kForward]);      // IN_BYTES
-  out.iana(23, r.delta.wire[kReverse]);     // OUT_BYTES
-  out.iana(2, r.delta.packets[kForward]);   // IN_PKTS
-  out.iana(24, r.delta.packets[kReverse]);  // OUT_PKTS
-  out.iana(static_cast<std::uint16_t>(kOwn9 + 40), r.delta.octets[kForward]);
-  out.iana(static_cast<std::uint16_t>(kOwn9 + 41), r.delta.octets[kReverse]);
-  out.iana(own(kPayloadOctetTotal), r.total.octets[kForward]);
-  out.iana(own(kReversePayloadOctetTotal), r.total.octets[kReverse]);
-  out.iana(own(kLocationReference), r.label.location.value);
-  out.iana(own(kNodeReference), r.node.value);
-  out.iana(own(kRequestClassReference), r.label.request_class.value);
-  out.iana(own(kNodeRole), static_cast<std::uint8_t>(r.node_role));
-  out.iana(own(kRequestOutcome), static_cast<std::uint8_t>(r.label.outcome));
-  out.iana(own(kCacheNote), r.label.answer_detail);
-  out.iana(own(kRequestDeltaCount), r.requests);
-  out.iana(static_cast<std::uint16_t>(kOwn9 + 42), static_cast<std::uint8_t>(r.reason));
+  out.iana(7, record.initiator.port);            // L4_SRC_PORT
+  out.iana(11, record.responder.port);           // L4_DST_PORT
+  out.iana(4, std::uint8_t{6});                  // PROTOCOL
+  out.iana(22, times.first);                     // FIRST_SWITCHED
+  out.iana(21, times.last);                      // LAST_SWITCHED
+  out.iana(1, record.delta.wire[kForward]);      // IN_BYTES
+  out.iana(23, record.delta.wire[kReverse]);     // OUT_BYTES
+  out.iana(2, record.delta.packets[kForward]);   // IN_PKTS
+  out.iana(24, record.delta.packets[kReverse]);  // OUT_PKTS
+  out.iana(static_cast<std::uint16_t>(kEnterpriseBase9 + 40), record.delta.octets[kForward]);
+  out.iana(static_cast<std::uint16_t>(kEnterpriseBase9 + 41), record.delta.octets[kReverse]);
+  out.iana(element_number(kPayloadOctetTotal), record.total.octets[kForward]);
+  out.iana(element_number(kReversePayloadOctetTotal), record.total.octets[kReverse]);
+  out.iana(element_number(kLocationReference), record.label.location.value);
+  out.iana(element_number(kNodeReference), record.node.value);
+  out.iana(element_number(kRequestClassReference), record.label.request_class.value);
+  out.iana(element_number(kNodeRole), static_cast<std::uint8_t>(record.node_role));
+  out.iana(element_number(kRequestOutcome), static_cast<std::uint8_t>(record.label.outcome));
+  out.iana(element_number(kCacheNote), record.label.answer_detail);
+  out.iana(element_number(kRequestDeltaCount), record.requests);
+  out.iana(static_cast<std::uint16_t>(kEnterpriseBase9 + 42), static_cast<std::uint8_t>(record.reason));
 }
 
 template <class Out>
 void name_fields9(Out& out, std::uint32_t domain, NameKind kind, NameNumber number,
                   const std::uint8_t* name) {
   out.iana(1, domain);  // scope: System
-  out.iana(kOwn9 + kNameKind, static_cast<std::uint8_t>(kind));
-  out.iana(kOwn9 + kNameReference, number.value);
-  out.bytes(kOwn9 + kReferenceName, name, kName9);
+  out.iana(kEnterpriseBase9 + kNameKind, static_cast<std::uint8_t>(kind));
+  out.iana(kEnterpriseBase9 + kNameReference, number.value);
+  out.bytes(kEnterpriseBase9 + kReferenceName, name, kNameBytes9);
 }
 
-void put_template(std::string& to, std::uint16_t number, const std::vector<Field>& fields,
-                  std::size_t scopes) {
-  put(to, number);
-  put(to, static_cast<std::uint16_t>(fields.size()));
-  if (scopes > 0) put(to, static_cast<std::uint16_t>(scopes));
+void append_template(std::string& buffer, std::uint16_t template_id, const std::vector<Field>& fields,
+                     std::size_t scope_fields) {
+  append_number(buffer, template_id);
+  append_number(buffer, static_cast<std::uint16_t>(fields.size()));
+  if (scope_fields > 0) append_number(buffer, static_cast<std::uint16_t>(scope_fields));
   for (const Field& field : fields) {
-    put(to, static_cast<std::uint16_t>(field.id | (field.enterprise != 0 ? 0x8000 : 0)));
-    put(to, field.length);
-    if (field.enterprise != 0) put(to, field.enterprise);
+    append_number(buffer, static_cast<std::uint16_t>(field.id | (field.enterprise != 0 ? 0x8000 : 0)));
+    append_number(buffer, field.length);
+    if (field.enterprise != 0) append_number(buffer, field.enterprise);
   }
 }
 
 struct TemplateList {
-  std::string data, options;  // template records of either kind, without the sets' headers
+  std::string data, options;  // template and options template records, without set headers
 };
 
 TemplateList ipfix_templates(std::uint32_t enterprise) {
   TemplateList list;
-  const auto add = [&](std::string& to, std::uint16_t number, std::size_t scopes, const auto& write) {
-    Fields fields(enterprise);
+  const auto add = [&](std::string& buffer, std::uint16_t template_id, std::size_t scope_fields,
+                       const auto& write) {
+    TemplateWriter fields(enterprise);
     write(fields);
-    put_template(to, number, fields.all, scopes);
+    append_template(buffer, template_id, fields.all, scope_fields);
   };
   const Record record;
   Endpoint v6;
@@ -246,57 +250,60 @@
   add(list.options, kNames, 2, [&](auto& out) { name_fields(out, NameKind::kLocation, {}, ""); });
   add(list.options, kNotSentV4, 2, [&](auto& out) { not_sent_fields(out, Endpoint(), {}); });
   add(list.options, kNotSentV6, 2, [&](auto& out) { not_sent_fields(out, v6, {}); });
-  add(list.options, kExporterFigures, 1, [&](auto& out) { exporter_fields(out, 0, 0, 0, 0, 0); });
-  add(list.options, kElementTypes, 2, [&](auto& out) { type_fields(out, 0, kOwnElements[0]); });
+  add(list.options, kExporterStatistics, 1, [&](auto& out) { exporter_fields(out, 0, 0, 0, 0, 0); });
+  add(list.options, kElementTypes, 2, [&](auto& out) { type_fields(out, 0, kEnterpriseElements[0]); });
   return list;
 }
 
-// Where a template or options set begins in the two versions.
+// Set IDs of template and options template sets in the two versions.
 constexpr std::uint16_t kTemplateSet = 2, kOptionsSet = 3;    // RFC 7011, 3.3.2
 constexpr std::uint16_t kTemplateSet9 = 0, kOptionsSet9 = 1;  // RFC 3954, 5.2 and 6.1
 
 }  // namespace
 
-Encoder::Encoder(const EncoderSettings& settings, MessageHandler done)
-    : settings_(settings), done_(std::move(done)), sequence_(settings.first_sequence) {}
+Encoder::Encoder(const EncoderSettings& settings, MessageHandler on_message)
+    : settings_(settings), on_message_(std::move(on_message)), sequence_(settings.first_sequence) {}
 
 std::string Encoder::header(Seconds now, std::uint32_t sequence) const {
   std::string bytes;
-  put(bytes, static_cast<std::uint16_t>(settings_.version));
-  put(bytes, std::uint16_t{0});  // length, or count of records
+  append_number(bytes, static_cast<std::uint16_t>(settings_.version));
+  append_number(bytes, std::uint16_t{0});  // length, or count of records
   if (settings_.version == Version::kNetflow9)
-    put(bytes, static_cast<std::uint32_t>(milliseconds(std::floor(now) - settings_.started)));
-  put(bytes, whole_seconds(now));
-  put(bytes, sequence);
-  put(bytes, settings_.domain);
+    append_number(bytes, static_cast<std::uint32_t>(milliseconds(std::floor(now) - settings_.started)));
+  append_number(bytes, whole_seconds(now));
+  append_number(bytes, sequence);
+  append_number(bytes, settings_.domain);
   return bytes;
 }
 
 std::uint32_t Encoder::sequence_of(std::string_view message) {
-  const bool nine = message.size() > 1 && message[1] == 9;
-  return endian::load_big_u32(reinterpret_cast<const unsigned char*>(message.data()) + (nine ? 12 : 8));
+  const bool is_netflow9 = message.size() > 1 && message[1] == 9;
+  return endian::load_big_u32(reinterpret_cast<const unsigned char*>(message.data()) +
+                              (is_netflow9 ? 12 : 8));
 }
 
 void Encoder::close_set() {
-  if (set_at_ == 0) return;
+  if (set_offset_ == 0) return;
   if (settings_.version == Version::kNetflow9)
-    while ((message_.bytes.size() - set_at_) % 4 != 0) message_.bytes += '\0';  // RFC 3954, 5.3
-  put_at(message_.bytes, set_at_ + 2, static_cast<std::uint16_t>(message_.bytes.size() - set_at_));
-  set_at_ = 0;
+    while ((message_.bytes.size() - set_offset_) % 4 != 0) message_.bytes += '\0';  // RFC 3954, 5.3
+  store_number_at(message_.bytes, set_offset_ + 2,
+                  static_cast<std::uint16_t>(message_.bytes.size() - set_offset_));
+  set_offset_ = 0;
 }
 
-// Guards against messages over the path's size, which IP would cut into pieces that are lost as one: a record
-// that does not fit ends the message before it. A record alone is always under the least size allowed.
-void Encoder::append(Seconds now, std::uint16_t set, std::string_view record) {
-  const std::size_t needed = record.size() + 4 + 3;  // with a set's header and padding
+// Keeps messages within the path's MTU: IP would fragment a larger one, and the loss of one fragment loses
+// the whole message. A record that doesn't fit ends the current message and starts the next. A single record
+// is always smaller than the smallest message size that the settings allow.
+void Encoder::append(Seconds now, std::uint16_t set_id, std::string_view record) {
+  const std::size_t needed = record.size() + 4 + 3;  // with the set header and padding
   if (!message_.bytes.empty() && message_.bytes.size() + needed > settings_.message_bytes) flush(now);
   if (message_.bytes.empty()) message_.bytes = header(now, sequence_);
-  if (set_at_ == 0 || set_ != set) {
+  if (set_offset_ == 0 || set_id_ != set_id) {
     close_set();
-    set_at_ = message_.bytes.size();
-    set_ = set;
-    put(message_.bytes, set);
-    put(message_.bytes, std::uint16_t{0});
+    set_offset_ = message_.bytes.size();
+    set_id_ = set_id;
+    append_number(message_.bytes, set_id);
+    append_number(message_.bytes, std::uint16_t{0});
   }
   message_.bytes += record;
   ++records_;
@@ -305,104 +312,109 @@
 void Encoder::flush(Seconds now) {
   if (message_.bytes.empty()) return;
   close_set();
-  const bool nine = settings_.version == Version::kNetflow9;
-  put_at(message_.bytes, 2, static_cast<std::uint16_t>(nine ? records_ : message_.bytes.size()));
-  // NetFlow's times count from when this uptime was 0, which the header tells in whole seconds: so it is
-  // taken at the whole second.
-  if (nine)
-    put_at(message_.bytes, 4, static_cast<std::uint32_t>(milliseconds(std::floor(now) - settings_.started)));
-  put_at(message_.bytes, nine ? 8 : 4, whole_seconds(now));
-  sequence_ += nine ? 1 : records_;  // RFC 3954, 5.1 counts packets, RFC 7011, 3.1 data records
+  const bool is_netflow9 = settings_.version == Version::kNetflow9;
+  store_number_at(message_.bytes, 2,
+                  static_cast<std::uint16_t>(is_netflow9 ? records_ : message_.bytes.size()));
+  // NetFlow's times are relative to the moment when the uptime was 0. A collector computes that moment from
+  // the uptime and the header's time, which is in whole seconds, so the uptime is that of the whole second.
+  if (is_netflow9)
+    store_number_at(message_.bytes, 4,
+                    static_cast<std::uint32_t>(milliseconds(std::floor(now) - settings_.started)));
+  store_number_at(message_.bytes, is_netflow9 ? 8 : 4, whole_seconds(now));
+  // RFC 3954, 5.1 numbers packets; RFC 7011, 3.1 counts data records.
+  sequence_ += is_netflow9 ? 1 : records_;
   message_.next_sequence = sequence_;
   records_ = 0;
-  done_(std::exchange(message_, {}));
+  on_message_(std::exchange(message_, {}));
 }
 
 void Encoder::flow(Seconds now, const Record& record) {
   const bool v6 = record.initiator.v6;
-  Bytes bytes;
-  bytes.all.reserve(200);
+  RecordWriter writer;
+  writer.all.reserve(200);
   if (settings_.version == Version::kNetflow9) {
     const auto uptime = [&](Seconds at) {
       return static_cast<std::uint32_t>(milliseconds(at - settings_.started));
     };
-    flow_fields9(bytes, record, v6, {uptime(record.start), uptime(record.end)});
+    flow_fields9(writer, record, v6, {uptime(record.start), uptime(record.end)});
   } else {
-    flow_fields(bytes, record, v6);
+    flow_fields(writer, record, v6);
   }
-  append(now, v6 ? kFlowV6 : kFlowV4, bytes.all);
+  append(now, v6 ? kFlowV6 : kFlowV4, writer.all);
   ++message_.flows;
   message_.packets += record.delta.packets[kForward] + record.delta.packets[kReverse];
   message_.octets += record.delta.octets[kForward] + record.delta.octets[kReverse];
 }
 
 void Encoder::name(Seconds now, NameKind kind, NameNumber number, std::string_view name) {
-  Bytes bytes;
+  RecordWriter writer;
   if (settings_.version == Version::kNetflow9) {
-    std::string padded(name.substr(0, kName9));
-    padded.resize(kName9, '\0');
-    name_fields9(bytes, settings_.domain, kind, number, reinterpret_cast<const std::uint8_t*>(padded.data()));
+    std::string padded(name.substr(0, kNameBytes9));
+    padded.resize(kNameBytes9, '\0');
+    name_fields9(writer, settings_.domain, kind, number,
+                 reinterpret_cast<const std::uint8_t*>(padded.data()));
   } else {
-    name_fields(bytes, kind, number, name);
+    name_fields(writer, kind, number, name);
   }
-  append(now, kNames, bytes.all);
+  append(now, kNames, writer.all);
 }
 
 void Encoder::not_sent(Seconds now, const Endpoint& collector, const NotSent& totals) {
-  if (settings_.version == Version::kNetflow9) return;  // it has no element for this
-  Bytes bytes;
-  not_sent_fields(bytes, collector, totals);
-  append(now, collector.v6 ? kNotSentV6 : kNotSentV4, bytes.all);
+  if (settings_.version == Version::kNetflow9) return;  // NetFlow v9 has no element for this
+  RecordWriter writer;
+  not_sent_fields(writer, collector, totals);
+  append(now, collector.v6 ? kNotSentV6 : kNotSentV4, writer.all);
 }
 
 void Encoder::exporter(Seconds now, std::uint64_t messages, std::uint64_t flows, std::uint64_t octets) {
-  if (settings_.version == Version::kNetflow9) return;  // its header tells the uptime
-  Bytes bytes;
-  exporter_fields(bytes, settings_.domain, settings_.started, messages, flows, octets);
-  append(now, kExporterFigures, bytes.all);
+  if (settings_.version == Version::kNetflow9) return;  // NetFlow v9 has the uptime in its header
+  RecordWriter writer;
+  exporter_fields(writer, settings_.domain, settings_.started, messages, flows, octets);
+  append(now, kExporterStatistics, writer.all);
 }
 
 void Encoder::element_types(Seconds now) {
   if (settings_.version == Version::kNetflow9) return;
-  for (const OwnElement& element : kOwnElements) {
-    Bytes bytes;
-    type_fields(bytes, settings_.enterprise, element);
-    append(now, kElementTypes, bytes.all);
+  for (const EnterpriseElement& element : kEnterpriseElements) {
+    RecordWriter writer;
+    type_fields(writer, settings_.enterprise, element);
+    append(now, kElementTypes, writer.all);
   }
 }
 
 void Encoder::templates(Seconds now) {
   if (settings_.version != Version::kNetflow9) return;
   const Record record;
-  std::uint8_t name[kName9] = {};
+  std::uint8_t name[kNameBytes9] = {};
   for (const bool v6 : {false, true}) {
-    Fields fields(0);
+    TemplateWriter fields(0);
     flow_fields9(fields, record, v6, {0, 0});
     std::string bytes;
-    put_template(bytes, v6 ? kFlowV6 : kFlowV4, fields.all, 0);
+    append_template(bytes, v6 ? kFlowV6 : kFlowV4, fields.all, 0);
     append(now, kTemplateSet9, bytes);
   }
-  Fields fields(0);
+  TemplateWriter fields(0);
   name_fields9(fields, 0, NameKind::kLocation, {}, name);
   std::string bytes;
-  put(bytes, std::uint16_t{kNames});
-  put(bytes, std::uint16_t{4});                                         // bytes of the scope's fields
-  put(bytes, static_cast<std::uint16_t>(4 * (fields.all.size() - 1)));  // of the others
-  for (const Field& field : fields.all) put(bytes, field.id), put(bytes, field.length);
+  append_number(bytes, std::uint16_t{kNames});
+  append_number(bytes, std::uint16_t{4});  // length of the scope fields in bytes
+  // Length of the other fields in bytes.
+  append_number(bytes, static_cast<std::uint16_t>(4 * (fields.all.size() - 1)));
+  for (const Field& field : fields.all) append_number(bytes, field.id), append_number(bytes, field.length);
   append(now, kOptionsSet9, bytes);
 }
 
 std::string Encoder::session_templates(Seconds now, std::uint32_t sequence) const {
   const TemplateList list = ipfix_templates(settings_.enterprise);
   std::string message = header(now, sequence);
-  const auto add = [&](std::uint16_t set, const std::string& records) {
-    put(message, set);
-    put(message, static_cast<std::uint16_t>(records.size() + 4));
+  const auto add = [&](std::uint16_t set_id, const std::string& records) {
+    append_number(message, set_id);
+    append_number(message, static_cast<std::uint16_t>(records.size() + 4));
     message += records;
   };
   add(kTemplateSet, list.data);
   add(kOptionsSet, list.options);
-  put_at(message, 2, static_cast<std::uint16_t>(message.size()));
+  store_number_at(message, 2, static_cast<std::uint16_t>(message.size()));
   return message;
 }
 
--- a/src/ipfix/record.hpp
+++ b/src/ipfix/record.hpp
@@ -1,5 +1,5 @@
-// One flow record as it is exported, whatever the protocol. Plain values; made by flow/table, written by
-// ipfix/encoder.
+// One flow record as it is exported, independent of the export protocol. Plain values; flow/table creates
+// them and ipfix/encoder writes them.
 #pragma once
 
 #include <array>
@@ -9,7 +9,7 @@
 
 using Seconds = double;
 
-// A name's place in the exporter's list of names; the list itself travels in option records. 0: no name.
+// Number under which the exporter refers to a name; option records carry the list of names. 0: no name.
 struct NameNumber {
   std::uint32_t value = 0;
   auto operator<=>(const NameNumber&) const = default;
@@ -22,30 +22,33 @@
   bool operator==(const Endpoint&) const = default;
 };
 
-// What the other side of the connection is.
+// The role of the director's peer on the connection.
 enum class NodeRole : std::uint8_t { kUnknown, kClient, kEdge, kParent, kOrigin };
-// kNone: octets that belong to no request. For an attempt: completed, may be repeated without harm, no
-// promise, called off.
+// How a request or an attempt ended. kNone: octets that belong to no request. For an attempt, kRejected means
+// that it can safely be repeated, kFailed that nothing is known about its effect, and kCancelled that the
+// director cancelled it.
 enum class Outcome : std::uint8_t { kNone, kCompleted, kRejected, kFailed, kCancelled };
-// flowEndReason, RFC 7012 element 136.
+// flowEndReason, IANA element 136 (RFC 7012).
 enum class EndReason : std::uint8_t { kIdle = 1, kActive = 2, kEnd = 3, kForced = 4, kLackOfResources = 5 };
 
-// What divides the traffic of one connection into flows.
+// The keys by which the traffic of one connection is divided into flows.
 struct Label {
-  NameNumber request_class, location;  // depot: the network of the client that asked
+  NameNumber request_class, location;  // location: the network of the requesting client
   Outcome outcome = Outcome::kNone;
-  std::uint8_t answer_detail =
-      0;  // where the answer came from, in the order of the protocol's notes; 0: not told
+  // Where the answer came from: the position in the protocol's list of answer details. 0: not known.
+  std::uint8_t answer_detail = 0;
   bool operator==(const Label&) const = default;
 };
 
-// Both directions of a biflow (RFC 5103): [0] from the connection's initiator, [1] towards it.
+// Index of the two directions of a biflow (RFC 5103): [0] from the connection's initiator, [1] towards it.
 enum Direction : std::size_t { kForward = 0, kReverse = 1 };
 
 struct Traffic {
-  std::array<std::uint64_t, 2> octets{};   // of TCP payload as the director read and wrote it; exact
-  std::array<std::uint64_t, 2> packets{};  // TCP segments as the kernel counted them, shared out by octets
-  std::array<std::uint64_t, 2> wire{};     // bytes with IP and TCP headers and repeats, as far as known
+  std::array<std::uint64_t, 2> octets{};  // TCP payload as the director read and wrote it; exact
+  // TCP segments as the kernel counted them for the connection, divided among its flows in proportion to
+  // octets.
+  std::array<std::uint64_t, 2> packets{};
+  std::array<std::uint64_t, 2> wire{};  // with IP and TCP headers and retransmissions, as far as known
 };
 
 struct Record {
@@ -55,9 +58,9 @@
   Label label;
   std::uint64_t id = 0;        // the same in all records of a flow
   Seconds start = 0;           // Unix time of the flow's first octet
-  Seconds end = 0;             // of the last one so far
-  Traffic delta, total;        // since the record before; since the start
-  std::uint32_t requests = 0;  // that ended since the record before
+  Seconds end = 0;             // of its last octet so far
+  Traffic delta, total;        // since the flow's previous record; since the flow's start
+  std::uint32_t requests = 0;  // requests that ended since the previous record
   EndReason reason = EndReason::kActive;
 };
 
