--- a/src/flows_tool/archive.cpp
+++ b/src/flows_tool/archive.cpp
@@ -18,16 +18,18 @@
 
 namespace {
 
-constexpr double kHour = 3600;  // s a partition
-constexpr double kFuture =
-    2 * 3600;                      // s that an exporter's clock may be ahead; beyond, it would fill the disk
-constexpr double kLookEvery = 30;  // s between looks for old partitions
-// s by which this machine's clock may be wrong against the exporters', as after a start with a wrong clock:
-// so much longer nothing is taken for old.
+constexpr double kPartitionSpan = 3600;  // s of export time in one partition
+// s by which an exporter's clock may be ahead. Messages further in the future are refused, as a clock that is
+// far off would fill the disk with partitions.
+constexpr double kMaxClockLead = 2 * 3600;
+constexpr double kCleanupInterval = 30;  // s between searches for old partitions
+// s by which this machine's clock may differ from the exporters', for example after a start with a wrong
+// clock. Data are kept this much longer before they count as old.
 constexpr double kClockTolerance = 3600;
-constexpr double kFirstPause = 0.2;  // s after a failure of the disk, doubling up to the longest
-constexpr double kLongestPause = 10;
-constexpr std::size_t kRowsAtOnce = 2048;  // in a transaction: a few ms of work
+// s until the next try after a disk failure. The pause doubles with each further failure up to the longest.
+constexpr double kFirstRetryPause = 0.2;
+constexpr double kLongestRetryPause = 10;
+constexpr std::size_t kMaxRowsPerTransaction = 2048;  // rows per transaction: a few ms of work
 
 constexpr const char* kSchema = R"(
 CREATE TABLE IF NOT EXISTS messages(id INTEGER PRIMARY KEY, exporter TEXT, domain INTEGER, version INTEGER,
@@ -44,7 +46,7 @@
 PRAGMA user_version = 1;
 )";
 
-std::int64_t signed_of(std::uint64_t value) { return static_cast<std::int64_t>(value); }
+std::int64_t to_int64(std::uint64_t value) { return static_cast<std::int64_t>(value); }
 
 }  // namespace
 
@@ -55,28 +57,28 @@
   if (result != SQLITE_OK) throw DatabaseError(result, sqlite3_errmsg(database));
 }
 Statement::~Statement() { sqlite3_finalize(raw_); }
-Statement& Statement::bind(int place, std::int64_t value) {
-  sqlite3_bind_int64(raw_, place, value);
+Statement& Statement::bind(int parameter, std::int64_t value) {
+  sqlite3_bind_int64(raw_, parameter, value);
   return *this;
 }
-Statement& Statement::bind(int place, double value) {
-  sqlite3_bind_double(raw_, place, value);
+Statement& Statement::bind(int parameter, double value) {
+  sqlite3_bind_double(raw_, parameter, value);
   return *this;
 }
-Statement& Statement::bind(int place, const std::string& value) {
-  sqlite3_bind_text(raw_, place, value.data(), static_cast<int>(value.size()), SQLITE_TRANSIENT);
+Statement& Statement::bind(int parameter, const std::string& value) {
+  sqlite3_bind_text(raw_, parameter, value.data(), static_cast<int>(value.size()), SQLITE_TRANSIENT);
   return *this;
 }
 bool Statement::step() {
   const int code = sqlite3_step(raw_);
   if (code == SQLITE_ROW) return true;
   if (code == SQLITE_DONE) return false;
-  const std::string words = sqlite3_errmsg(database_);
+  const std::string error_text = sqlite3_errmsg(database_);
   sqlite3_reset(raw_);
-  throw DatabaseError(code, words);
+  throw DatabaseError(code, error_text);
 }
 void Statement::reset() { sqlite3_reset(raw_); }
-std::int64_t Statement::whole(int column) const { return sqlite3_column_int64(raw_, column); }
+std::int64_t Statement::integer(int column) const { return sqlite3_column_int64(raw_, column); }
 double Statement::real(int column) const { return sqlite3_column_double(raw_, column); }
 std::string Statement::text(int column) const {
   const auto* at = sqlite3_column_text(raw_, column);
@@ -89,9 +91,9 @@
   const int flags = write ? SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE : SQLITE_OPEN_READONLY;
   const int result = sqlite3_open_v2(path.c_str(), &raw_, flags, nullptr);
   if (result != SQLITE_OK) {
-    const std::string words = path + ": " + sqlite3_errmsg(raw_);
+    const std::string error_text = path + ": " + sqlite3_errmsg(raw_);
     sqlite3_close(raw_);
-    throw DatabaseError(result, words);
+    throw DatabaseError(result, error_text);
   }
   sqlite3_busy_timeout(raw_, 5000);
 }
@@ -100,16 +102,17 @@
   char* error = nullptr;
   const int result = sqlite3_exec(raw_, text, nullptr, nullptr, &error);
   if (result == SQLITE_OK) return;
-  const std::string words = error ? error : "?";
+  const std::string error_text = error ? error : "?";
   sqlite3_free(error);
-  throw DatabaseError(result, words);
+  throw DatabaseError(result, error_text);
 }
 bool Database::has_schema() {
   try {
     Statement version(raw_, "PRAGMA user_version");
-    return version.step() && version.whole(0) > 0;
+    return version.step() && version.integer(0) > 0;
   } catch (const DatabaseError& failure) {
-    // A kill before the write-ahead log was set up left a journal, which only a writer may roll back.
+    // The process that created the partition was killed before it had switched to the write-ahead log. It
+    // left a rollback journal, which only a writer may roll back.
     if (failure.code == SQLITE_READONLY) return false;
     throw;
   }
@@ -131,16 +134,16 @@
     {
       Statement journal(database.raw(), "PRAGMA journal_mode=WAL");
       if (!journal.step() || journal.text(0) != "wal")
-        throw DatabaseError(SQLITE_IOERR, "no write-ahead log");
+        throw DatabaseError(SQLITE_IOERR, "can't switch to the write-ahead log");
     }
     database.run("PRAGMA synchronous=NORMAL");
-    // In one transaction: a reader and a kill find all of it or nothing.
+    // In one transaction, so that a reader, or a restart after a kill, finds the whole schema or none of it.
     database.run("BEGIN IMMEDIATE");
     database.run(kSchema);
     database.run("COMMIT");
     return true;
   }
-  // In the first transaction of a partition that was opened: what was named before it began.
+  // Called in the first transaction after a partition was opened: writes the names learnt before.
   void write_names(const std::map<NameKey, std::string>& names) {
     if (names_written) return;
     for (const auto& [key, name] : names) write_name(key, name);
@@ -163,37 +166,41 @@
 }
 Archive::~Archive() { finish(); }
 
-std::int64_t Archive::Message::hour() const { return static_cast<std::int64_t>(head.export_time / kHour); }
+std::int64_t Archive::Message::hour() const {
+  return static_cast<std::int64_t>(header.export_time / kPartitionSpan);
+}
 
-std::string Archive::path_of(std::int64_t hour) const {
+std::string Archive::partition_path(std::int64_t hour) const {
   const auto name =
       fmt::format("flows-{:%Y%m%dT%H}.sqlite", fmt::gmtime(static_cast<std::time_t>(hour * 3600)));
   return (files::path(directory_) / name).string();
 }
 
-Archive::Partition& Archive::partition(std::int64_t hour) {
+Archive::Partition& Archive::open_partition(std::int64_t hour) {
   const auto found = open_.find(hour);
   if (found != open_.end()) return *found->second;
   while (open_.size() >= bounds_.open) open_.erase(open_.begin());
-  auto made = std::make_unique<Partition>(path_of(hour));
-  return *open_.emplace(hour, std::move(made)).first->second;
+  auto opened = std::make_unique<Partition>(partition_path(hour));
+  return *open_.emplace(hour, std::move(opened)).first->second;
 }
 
-// Guards against a damaged file that would hold back all that comes after it: a new one is begun.
-void Archive::move_aside(std::int64_t hour) {
-  const std::string path = path_of(hour);
-  std::error_code ignored;  // where it can't be moved, the next try finds it and fails again
+// Guards against a damaged file that would block all later messages: it is renamed, and a new file is
+// created.
+void Archive::rename_damaged(std::int64_t hour) {
+  const std::string path = partition_path(hour);
+  std::error_code ignored;  // if it can't be renamed, the next try fails in the same way
   files::rename(path, path + ".damaged", ignored);
-  for (const char* end : {"-wal", "-shm"}) files::remove(path + end, ignored);
+  for (const char* suffix : {"-wal", "-shm"}) files::remove(path + suffix, ignored);
   ++counts_.damaged;
 }
 
-bool Archive::begin(const std::string& exporter, const MessageHead& head, const ClockReading& now) {
+bool Archive::begin(const std::string& exporter, const MessageHeader& header, const ClockReading& now) {
   current_.reset();
-  begun_at_ = now.steady;
-  // Guards against an exporter whose clock is far off: a partition for each hour it makes up, or none kept.
-  const double oldest = now.earliest() - bounds_.keep_hours * kHour - kClockTolerance;
-  if (head.export_time > now.latest() + kFuture || head.export_time < oldest) {
+  begin_time_ = now.steady;
+  // Guards against an exporter whose clock is far off: it would create a partition for each wrong hour, or
+  // its data would be removed at once as too old.
+  const double oldest = now.earliest() - bounds_.keep_hours * kPartitionSpan - kClockTolerance;
+  if (header.export_time > now.latest() + kMaxClockLead || header.export_time < oldest) {
     ++counts_.too_far;
     return false;
   }
@@ -203,7 +210,7 @@
   }
   current_ = std::make_unique<Message>();
   current_->exporter = exporter;
-  current_->head = head;
+  current_->header = header;
   return true;
 }
 
@@ -225,32 +232,32 @@
   rows_waiting_ += current_->rows();
   waiting_.push_back(std::move(*current_));
   current_.reset();
-  if (rows_waiting_ >= kRowsAtOnce) store_waiting(begun_at_);
+  if (rows_waiting_ >= kMaxRowsPerTransaction) store_waiting(begin_time_);
 }
 
 void Archive::commit(const ClockReading& now) {
   store_waiting(now.steady);
-  if (now.steady < looked_at_ + kLookEvery) return;
-  looked_at_ = now.steady;
+  if (now.steady < last_cleanup_ + kCleanupInterval) return;
+  last_cleanup_ = now.steady;
   remove_old(now);
 }
 
 std::size_t Archive::finish() {
-  again_at_ = 0;
-  store_waiting(again_at_);
+  retry_at_ = 0;
+  store_waiting(retry_at_);
   return waiting_.size();
 }
 
-// Guards against a disk that takes nothing for a while: what was not committed stays in memory. A partition
-// that failed is opened anew at the next try, whatever state SQLite has left it in.
+// Guards against a disk that rejects writes for a while: messages that were not committed stay in memory. A
+// partition that failed is closed and opened again at the next try, as its connection may be in any state.
 void Archive::store_waiting(double steady_now) {
-  if (steady_now < again_at_) return;
+  if (steady_now < retry_at_) return;
   while (!waiting_.empty()) {
     const std::int64_t hour = waiting_.front().hour();
     bool is_damage = false;
     try {
-      store_some();
-      pause_ = 0;
+      store_batch();
+      retry_pause_ = 0;
       continue;
     } catch (const DatabaseError& failure) {
       last_error_ = failure.what();
@@ -258,84 +265,87 @@
     }
     ++counts_.commits_failed;
     open_.erase(hour);
-    if (is_damage) move_aside(hour);
-    pause_ = pause_ == 0 ? kFirstPause : std::min(2 * pause_, kLongestPause);
-    again_at_ = steady_now + pause_;
+    if (is_damage) rename_damaged(hour);
+    retry_pause_ = retry_pause_ == 0 ? kFirstRetryPause : std::min(2 * retry_pause_, kLongestRetryPause);
+    retry_at_ = steady_now + retry_pause_;
     return;
   }
 }
 
-// The first of those that wait, as many as belong to one hour and go into one transaction.
-void Archive::store_some() {
+// Stores, in one transaction, the waiting messages from the front of the queue that belong to the same hour,
+// up to kMaxRowsPerTransaction rows.
+void Archive::store_batch() {
   const std::int64_t hour = waiting_.front().hour();
-  Partition& held = partition(hour);
-  held.database.run("BEGIN IMMEDIATE");
-  held.write_names(names_);
-  ArchiveCounts made;
+  Partition& partition = open_partition(hour);
+  partition.database.run("BEGIN IMMEDIATE");
+  partition.write_names(names_);
+  ArchiveCounts added;
   std::size_t rows = 0;
-  std::size_t taken = 0;
-  for (; taken < waiting_.size() && rows < kRowsAtOnce && waiting_[taken].hour() == hour; ++taken) {
-    const Message& message = waiting_[taken];
+  std::size_t message_count = 0;
+  for (; message_count < waiting_.size() && rows < kMaxRowsPerTransaction &&
+         waiting_[message_count].hour() == hour;
+       ++message_count) {
+    const Message& message = waiting_[message_count];
     rows += message.rows();
-    if (store_message(held, message)) {
-      ++made.messages;
-      made.flows += message.flows.size();
+    if (store_message(partition, message)) {
+      ++added.messages;
+      added.flows += message.flows.size();
     } else {
-      ++made.duplicates;
+      ++added.duplicates;
     }
   }
-  held.database.run("COMMIT");
-  held.names_written = true;
-  counts_.messages += made.messages;
-  counts_.flows += made.flows;
-  counts_.duplicates += made.duplicates;
+  partition.database.run("COMMIT");
+  partition.names_written = true;
+  counts_.messages += added.messages;
+  counts_.flows += added.flows;
+  counts_.duplicates += added.duplicates;
   rows_waiting_ -= rows;
-  waiting_.erase(waiting_.begin(), waiting_.begin() + static_cast<std::ptrdiff_t>(taken));
+  waiting_.erase(waiting_.begin(), waiting_.begin() + static_cast<std::ptrdiff_t>(message_count));
 }
 
-// False: it is there already.
-bool Archive::store_message(Partition& held, const Message& message) {
-  const MessageHead& head = message.head;
-  Statement& add = held.add_message;
-  add.bind(1, message.exporter).bind(2, std::int64_t{head.domain}).bind(3, std::int64_t{head.version});
-  add.bind(4, std::int64_t{head.sequence}).bind(5, std::int64_t{head.export_time});
-  add.bind(6, signed_of(head.bytes));
+// Returns false if the message is already stored.
+bool Archive::store_message(Partition& partition, const Message& message) {
+  const MessageHeader& header = message.header;
+  Statement& add = partition.add_message;
+  add.bind(1, message.exporter).bind(2, std::int64_t{header.domain}).bind(3, std::int64_t{header.version});
+  add.bind(4, std::int64_t{header.sequence}).bind(5, std::int64_t{header.export_time});
+  add.bind(6, to_int64(header.bytes));
   add.step();
   add.reset();
-  if (held.database.changes() == 0) return false;
-  const std::int64_t number = sqlite3_last_insert_rowid(held.database.raw());
-  for (const FlowRow& row : message.flows) store_flow(held, number, row);
+  if (partition.database.changes() == 0) return false;
+  const std::int64_t number = sqlite3_last_insert_rowid(partition.database.raw());
+  for (const FlowRow& row : message.flows) store_flow(partition, number, row);
   for (const NameRow& row : message.names) {
-    const NameKey key{message.exporter, head.domain, row.kind, row.number};
+    const NameKey key{message.exporter, header.domain, row.kind, row.number};
     remember_name(key, row.name);
-    held.write_name(key, row.name);
+    partition.write_name(key, row.name);
   }
   for (const NotSentRow& row : message.not_sent) {
-    Statement& not_sent = held.add_not_sent;
-    not_sent.bind(1, message.exporter).bind(2, std::int64_t{head.domain}).bind(3, row.collector);
-    not_sent.bind(4, signed_of(row.flows)).bind(5, signed_of(row.packets)).bind(6, signed_of(row.octets));
+    Statement& not_sent = partition.add_not_sent;
+    not_sent.bind(1, message.exporter).bind(2, std::int64_t{header.domain}).bind(3, row.collector);
+    not_sent.bind(4, to_int64(row.flows)).bind(5, to_int64(row.packets)).bind(6, to_int64(row.octets));
     not_sent.step();
     not_sent.reset();
   }
   for (const double started : message.runs) {
-    held.add_run.bind(1, message.exporter).bind(2, std::int64_t{head.domain}).bind(3, started);
-    held.add_run.step();
-    held.add_run.reset();
+    partition.add_run.bind(1, message.exporter).bind(2, std::int64_t{header.domain}).bind(3, started);
+    partition.add_run.step();
+    partition.add_run.reset();
   }
   return true;
 }
 
-void Archive::store_flow(Partition& held, std::int64_t message, const FlowRow& row) {
-  Statement& add = held.add_flow;
-  add.bind(1, message).bind(2, signed_of(row.id)).bind(3, row.initiator);
+void Archive::store_flow(Partition& partition, std::int64_t message, const FlowRow& row) {
+  Statement& add = partition.add_flow;
+  add.bind(1, message).bind(2, to_int64(row.id)).bind(3, row.initiator);
   add.bind(4, std::int64_t{row.initiator_port})
       .bind(5, row.responder)
       .bind(6, std::int64_t{row.responder_port});
   add.bind(7, row.start).bind(8, row.end);
   const std::array<std::uint64_t, 16> numbers = {static_cast<std::uint64_t>(row.reason),
-                                                 static_cast<std::uint64_t>(row.part),
+                                                 static_cast<std::uint64_t>(row.node_role),
                                                  static_cast<std::uint64_t>(row.outcome),
-                                                 static_cast<std::uint64_t>(row.note),
+                                                 static_cast<std::uint64_t>(row.answer_detail),
                                                  row.location,
                                                  row.node,
                                                  row.request_class,
@@ -348,7 +358,7 @@
                                                  row.wire[1],
                                                  row.total[0],
                                                  row.total[1]};
-  for (std::size_t i = 0; i < numbers.size(); ++i) add.bind(static_cast<int>(9 + i), signed_of(numbers[i]));
+  for (std::size_t i = 0; i < numbers.size(); ++i) add.bind(static_cast<int>(9 + i), to_int64(numbers[i]));
   add.step();
   add.reset();
 }
@@ -359,23 +369,24 @@
   names_[key] = name;
 }
 
-// The oldest hours go, whole files at a time; the newest stays whatever its size.
+// Removes the oldest partitions while they are too old or the archive is too large. The newest partition
+// stays whatever its size.
 void Archive::remove_old(const ClockReading& now) {
-  std::vector<std::string> all = partitions(directory_);
+  std::vector<std::string> paths = partitions(directory_);
   std::uint64_t bytes = 0;
-  for (const std::string& path : all) bytes += files::file_size(path);
-  const double kept_from = now.earliest() - bounds_.keep_hours * kHour - kClockTolerance;
+  for (const std::string& path : paths) bytes += files::file_size(path);
+  const double kept_from = now.earliest() - bounds_.keep_hours * kPartitionSpan - kClockTolerance;
   const std::string oldest = fmt::format("flows-{:%Y%m%dT%H}.sqlite",
                                          fmt::gmtime(static_cast<std::time_t>(std::max(0.0, kept_from))));
-  for (std::size_t i = 0; i + 1 < all.size(); ++i) {
-    if (files::path(all[i]).filename().string() >= oldest && bytes <= bounds_.bytes) break;
-    bytes -= files::file_size(all[i]);
+  for (std::size_t i = 0; i + 1 < paths.size(); ++i) {
+    if (files::path(paths[i]).filename().string() >= oldest && bytes <= bounds_.bytes) break;
+    bytes -= files::file_size(paths[i]);
     std::erase_if(open_, [&](const auto& entry) {
-      return files::path(all[i]).filename() ==
+      return files::path(paths[i]).filename() ==
              fmt::format("flows-{:%Y%m%dT%H}.sqlite",
                          fmt::gmtime(static_cast<std::time_t>(entry.first * 3600)));
     });
-    for (const char* end : {"", "-wal", "-shm"}) files::remove(all[i] + end);
+    for (const char* suffix : {"", "-wal", "-shm"}) files::remove(paths[i] + suffix);
     ++counts_.removed;
   }
 }
@@ -391,31 +402,32 @@
   return all;
 }
 
-const char* part_name(int part) {
+const char* node_role_name(int node_role) {
   constexpr std::array<const char*, 5> kNames = {"unknown", "client", "edge", "parent", "origin"};
-  return part >= 0 && part < 5 ? kNames[static_cast<std::size_t>(part)] : "?";
+  return node_role >= 0 && node_role < 5 ? kNames[static_cast<std::size_t>(node_role)] : "?";
 }
 const char* outcome_name(int outcome) {
   constexpr std::array<const char*, 5> kNames = {"none", "completed", "bounced", "forfeited", "left"};
   return outcome >= 0 && outcome < 5 ? kNames[static_cast<std::size_t>(outcome)] : "?";
 }
-const char* note_name(int note) {
+const char* answer_detail_name(int answer_detail) {
   constexpr std::array<const char*, 11> kNames = {
       "none",           "hit",         "filled",       "filled_by_origin", "joined",       "stale",
       "source_refused", "source_lost", "source_lacks", "no_place",         "origin_failed"};
-  return note >= 0 && note < 11 ? kNames[static_cast<std::size_t>(note)] : "?";
+  return answer_detail >= 0 && answer_detail < 11 ? kNames[static_cast<std::size_t>(answer_detail)] : "?";
 }
 
 std::vector<ReportLine> report(const std::string& directory, const ReportQuery& query) {
   std::map<std::vector<std::string>, ReportLine> lines;
   std::map<std::tuple<std::string, std::int64_t, std::int64_t, std::int64_t>, std::string> names;
-  // An end stands in one partition and a flow's start in another; sums alone are needed here.
+  // The records of one flow may be in several partitions; adding them up needs no match between them.
   for (const std::string& path : partitions(directory)) {
     Database database(path, false);
     database.run("BEGIN");
     if (!database.has_schema()) continue;
     Statement name(database.raw(), "SELECT exporter, domain, kind, number, name FROM names");
-    while (name.step()) names[{name.text(0), name.whole(1), name.whole(2), name.whole(3)}] = name.text(4);
+    while (name.step())
+      names[{name.text(0), name.integer(1), name.integer(2), name.integer(3)}] = name.text(4);
     Statement rows(database.raw(), fmt::format(R"(
         SELECT m.exporter, m.domain, f.depot, f.grade, f.node, f.part, f.outcome, f.note,
           CAST(f.end / {0} AS INTEGER) * {0}, COUNT(*), SUM(f.reason <> 2), SUM(f.requests), SUM(f.octets_out),
@@ -426,50 +438,52 @@
     rows.bind(1, query.from).bind(2, query.to);
     while (rows.step()) {
       const std::string exporter = rows.text(0);
-      const std::int64_t domain = rows.whole(1);
-      if (!query.node_role.empty() && query.node_role != part_name(static_cast<int>(rows.whole(5)))) continue;
+      const std::int64_t domain = rows.integer(1);
+      if (!query.node_role.empty() && query.node_role != node_role_name(static_cast<int>(rows.integer(5))))
+        continue;
       const auto named = [&](std::int64_t kind, int column) -> std::string {
-        if (rows.whole(column) == 0) return "-";
-        const auto found = names.find({exporter, domain, kind, rows.whole(column)});
-        return found == names.end() ? fmt::format("#{}", rows.whole(column)) : found->second;
+        if (rows.integer(column) == 0) return "-";
+        const auto found = names.find({exporter, domain, kind, rows.integer(column)});
+        return found == names.end() ? fmt::format("#{}", rows.integer(column)) : found->second;
       };
-      ReportLine one;
+      ReportLine result_line;
       for (const By by : query.by) {
         switch (by) {
           case By::kLocation:
-            one.keys.push_back(named(1, 2));
+            result_line.keys.push_back(named(1, 2));
             break;
           case By::kNode:
-            one.keys.push_back(named(2, 4));
+            result_line.keys.push_back(named(2, 4));
             break;
           case By::kRequestClass:
-            one.keys.push_back(named(3, 3));
+            result_line.keys.push_back(named(3, 3));
             break;
           case By::kNodeRole:
-            one.keys.push_back(part_name(static_cast<int>(rows.whole(5))));
+            result_line.keys.push_back(node_role_name(static_cast<int>(rows.integer(5))));
             break;
           case By::kOutcome:
-            one.keys.push_back(outcome_name(static_cast<int>(rows.whole(6))));
+            result_line.keys.push_back(outcome_name(static_cast<int>(rows.integer(6))));
             break;
           case By::kAnswerDetail:
-            one.keys.push_back(note_name(static_cast<int>(rows.whole(7))));
+            result_line.keys.push_back(answer_detail_name(static_cast<int>(rows.integer(7))));
             break;
           case By::kExporter:
-            one.keys.push_back(fmt::format("{}/{}", exporter, domain));
+            result_line.keys.push_back(fmt::format("{}/{}", exporter, domain));
             break;
           case By::kTime:
-            one.keys.push_back(
-                fmt::format("{:%FT%TZ}", fmt::gmtime(static_cast<std::time_t>(rows.whole(8)))));
+            result_line.keys.push_back(
+                fmt::format("{:%FT%TZ}", fmt::gmtime(static_cast<std::time_t>(rows.integer(8)))));
             break;
         }
       }
-      ReportLine& line = lines.try_emplace(one.keys, one).first->second;
+      ReportLine& line = lines.try_emplace(result_line.keys, result_line).first->second;
       const auto add = [&](std::uint64_t& to, int column) {
-        to += static_cast<std::uint64_t>(rows.whole(column));
+        to += static_cast<std::uint64_t>(rows.integer(column));
       };
       add(line.records, 9), add(line.flows, 10), add(line.requests, 11);
-      for (int way = 0; way < 2; ++way)
-        add(line.octets[way], 12 + way), add(line.packets[way], 14 + way), add(line.wire[way], 16 + way);
+      for (int direction = 0; direction < 2; ++direction)
+        add(line.octets[direction], 12 + direction), add(line.packets[direction], 14 + direction),
+            add(line.wire[direction], 16 + direction);
     }
   }
   std::vector<ReportLine> all;
--- a/src/flows_tool/archive.hpp
+++ b/src/flows_tool/archive.hpp
@@ -1,7 +1,7 @@
-// The archive of flow records: SQLite files, one for each hour of export time, in a directory. Readable while
-// it is written, and whole after a kill: a message is there with all its records or not at all, and one that
-// comes again counts once. What the disk does not take waits in memory, within a bound, and is tried again;
-// beyond the bound messages are refused and counted.
+// The archive of flow records: a directory of SQLite files (partitions), one for each hour of export time. It
+// can be read while it is written, and it stays consistent when the process is killed: a message is stored
+// with all its records or not at all, and a duplicate is stored once. Messages that the disk doesn't accept
+// wait in memory, up to a bound, and are retried; beyond the bound messages are refused and counted.
 #pragma once
 
 #include <algorithm>
@@ -22,27 +22,28 @@
 
 namespace hareramp::flows_tool {
 
-// What SQLite says of a failure.
+// An error of SQLite, with its result code.
 struct DatabaseError : std::runtime_error {
-  DatabaseError(int sqlite_code, const std::string& words) : std::runtime_error(words), code(sqlite_code) {}
-  // The file holds no database that could be read: to try again is of no use.
+  DatabaseError(int sqlite_code, const std::string& error_text)
+      : std::runtime_error(error_text), code(sqlite_code) {}
+  // The file is not a readable database, so retrying is of no use.
   bool is_damage() const;
   int code;  // SQLITE_FULL, SQLITE_IOERR, ...
 };
 
-// A prepared statement; throws DatabaseError.
+// A prepared statement. Preparing and stepping throw DatabaseError.
 class Statement {
  public:
   Statement(sqlite3* database, const std::string& text);
   ~Statement();
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
-  Statement& bind(int place, std::int64_t value);
-  Statement& bind(int place, double value);
-  Statement& bind(int place, const std::string& value);
-  bool step();  // true: a row is there
+  Statement& bind(int parameter, std::int64_t value);
+  Statement& bind(int parameter, double value);
+  Statement& bind(int parameter, const std::string& value);
+  bool step();  // true: a row is available
   void reset();
-  std::int64_t whole(int column) const;
+  std::int64_t integer(int column) const;
   double real(int column) const;
   std::string text(int column) const;
 
@@ -58,7 +59,7 @@
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
   void run(const char* text);
-  bool has_schema();  // false: a partition that is just being made, with nothing in it
+  bool has_schema();  // false: the partition is being created and still empty
   int changes() const;
   sqlite3* raw() const { return raw_; }
 
@@ -69,20 +70,20 @@
 struct ArchiveBounds {
   double keep_hours = 24 * 31;
   std::uint64_t bytes = std::uint64_t{10} << 30;
-  std::size_t open = 4;                // partitions at once
-  std::size_t names = 1 << 18;         // held to be written into each new partition
-  std::size_t waiting_rows = 1 << 16;  // in memory while the disk takes nothing: some 20 MB
+  std::size_t open = 4;                // partitions open at once
+  std::size_t names = 1 << 18;         // kept in memory and written into each new partition
+  std::size_t waiting_rows = 1 << 16;  // rows in memory while the disk accepts none: about 20 MB
 };
 
 struct ArchiveCounts {
   std::uint64_t messages = 0, duplicates = 0, flows = 0, removed = 0, too_far = 0;
-  std::uint64_t failed = 0;          // messages refused: too much waits for the disk
-  std::uint64_t commits_failed = 0;  // tried again later
+  std::uint64_t failed = 0;          // messages refused because the queue for the disk is full
+  std::uint64_t commits_failed = 0;  // transactions that failed and are retried
   std::uint64_t damaged = 0;         // partitions moved aside
 };
 
-// The time by two clocks, in Unix seconds: one that starts at the system's and then only goes forward, and
-// the system's own, which may be set at any moment. Where they differ neither is sure.
+// The time by two clocks, in Unix seconds: a steady one that starts at the system time and never goes back,
+// and the system clock, which may be set at any moment. Where they differ, either may be wrong.
 struct ClockReading {
   ClockReading(double both) : steady(both), wall(both) {}
   ClockReading(double steady_now, double wall_now) : steady(steady_now), wall(wall_now) {}
@@ -96,20 +97,21 @@
   Archive(const std::string& directory, const ArchiveBounds& bounds);
   ~Archive();
 
-  // A message's records come between begin and end. False: it can't be kept, and is counted.
-  bool begin(const std::string& exporter, const MessageHead& head, const ClockReading& now);
+  // The records of a message are added between begin() and end(). begin() returns false, and counts the
+  // message, if it can't be kept.
+  bool begin(const std::string& exporter, const MessageHeader& header, const ClockReading& now);
   void flow(const FlowRow& row);
   void name(const NameRow& row);
   void not_sent(const NotSentRow& row);
   void run_started(double started);
   void end();
 
-  // Makes what has come readable and lasting, unless the disk has just failed and is left alone; old
-  // partitions go.
+  // Commits the waiting messages, so that they are durable and visible to readers, unless the pause after a
+  // disk failure is still running; removes old partitions.
   void commit(const ClockReading& now);
-  // Gives the disk a last chance; returns how many messages it did not take, which are lost.
+  // Tries once more to store what waits; returns how many messages could not be stored and are lost.
   std::size_t finish();
-  // No message is taken until the disk takes what waits.
+  // True: new messages are refused until waiting ones have been stored.
   bool full() const { return rows_waiting_ >= bounds_.waiting_rows; }
   std::size_t waiting() const { return waiting_.size(); }  // messages
   const std::string& last_error() const { return last_error_; }
@@ -119,7 +121,7 @@
   struct Partition;
   struct Message {
     std::string exporter;
-    MessageHead head;
+    MessageHeader header;
     std::vector<FlowRow> flows;
     std::vector<NameRow> names;
     std::vector<NotSentRow> not_sent;
@@ -128,13 +130,13 @@
     std::int64_t hour() const;
   };
   using NameKey = std::tuple<std::string, std::uint32_t, int, std::uint32_t>;
-  Partition& partition(std::int64_t hour);
+  Partition& open_partition(std::int64_t hour);
   void store_waiting(double steady_now);
-  void store_some();
-  bool store_message(Partition& held, const Message& message);
-  void store_flow(Partition& held, std::int64_t message, const FlowRow& row);
-  void move_aside(std::int64_t hour);
-  std::string path_of(std::int64_t hour) const;
+  void store_batch();
+  bool store_message(Partition& partition, const Message& message);
+  void store_flow(Partition& partition, std::int64_t message, const FlowRow& row);
+  void rename_damaged(std::int64_t hour);
+  std::string partition_path(std::int64_t hour) const;
   void remember_name(const NameKey& key, const std::string& name);
   void remove_old(const ClockReading& now);
 
@@ -144,19 +146,19 @@
   std::map<std::int64_t, std::unique_ptr<Partition>> open_;
   std::map<NameKey, std::string> names_;
   std::unique_ptr<Message> current_;
-  std::deque<Message> waiting_;  // for the disk, in the order of their coming
+  std::deque<Message> waiting_;  // not yet stored, in order of arrival
   std::size_t rows_waiting_ = 0;
   std::string last_error_;
-  double begun_at_ = 0;  // the time of the last begin()
-  double again_at_ = 0;  // the disk is left alone until then
-  double pause_ = 0;     // the last such pause; 0: the disk works
-  double looked_at_ = 0;
+  double begin_time_ = 0;   // steady time of the last begin()
+  double retry_at_ = 0;     // steady time before which no write is tried after a failure
+  double retry_pause_ = 0;  // s; the latest pause after a failure; 0: the last write succeeded
+  double last_cleanup_ = 0;
 };
 
-// The files of an archive, oldest first.
+// The paths of an archive's partitions, oldest first.
 std::vector<std::string> partitions(const std::string& directory);
 
-// What a report groups by.
+// The columns by which a report can group.
 enum class By { kLocation, kRequestClass, kNode, kNodeRole, kOutcome, kAnswerDetail, kExporter, kTime };
 
 struct ReportLine {
@@ -167,15 +169,15 @@
 
 struct ReportQuery {
   std::vector<By> by;
-  double from = 0, to = 1e12;  // Unix seconds of a record's end
+  double from = 0, to = 1e12;  // Unix seconds; selects records that end at or after from and before to
   double interval = 3600;      // s, for kTime
-  std::string node_role;       // only this: client, edge, parent, origin; empty: all
+  std::string node_role;       // only records of this role: client, edge, parent or origin; empty: all
 };
 
 std::vector<ReportLine> report(const std::string& directory, const ReportQuery& query);
 
-const char* part_name(int part);
+const char* node_role_name(int node_role);
 const char* outcome_name(int outcome);
-const char* note_name(int note);
+const char* answer_detail_name(int answer_detail);
 
 }  // namespace hareramp::flows_tool
--- a/src/flows_tool/rows.cpp
+++ b/src/flows_tool/rows.cpp
@@ -11,22 +11,23 @@
 
 namespace {
 
-constexpr std::size_t kLearntMost = 4096;  // types of elements, from all exporters
-constexpr std::uint16_t kOwn9 = 57344;     // our elements in NetFlow v9, docs/flow-export.md
-constexpr std::array<const char*, 12> kOwnNames = {"depotReference",
-                                                   "nodeReference",
-                                                   "gradeReference",
-                                                   "nodePart",
-                                                   "requestOutcome",
-                                                   "cacheNote",
-                                                   "requestDeltaCount",
-                                                   "payloadOctetTotalCount",
-                                                   "reversePayloadOctetTotalCount",
-                                                   "nameReference",
-                                                   "nameKind",
-                                                   "referenceName"};
+constexpr std::size_t kMaxLearntElements = 4096;  // element types, from all exporters together
+constexpr std::uint16_t kEnterpriseBase9 =
+    57344;  // base number of our elements in NetFlow v9, docs/flow-export.md
+constexpr std::array<const char*, 12> kElementNames = {"depotReference",
+                                                       "nodeReference",
+                                                       "gradeReference",
+                                                       "nodePart",
+                                                       "requestOutcome",
+                                                       "cacheNote",
+                                                       "requestDeltaCount",
+                                                       "payloadOctetTotalCount",
+                                                       "reversePayloadOctetTotalCount",
+                                                       "nameReference",
+                                                       "nameKind",
+                                                       "referenceName"};
 
-// The IANA elements that dump names; the registry has them all.
+// The IANA elements that have a display name; the IANA registry lists all elements.
 const std::map<std::uint16_t, const char*> kIana = {{1, "octetDeltaCount"},
                                                     {2, "packetDeltaCount"},
                                                     {4, "protocolIdentifier"},
@@ -75,19 +76,19 @@
   return text;
 }
 
-Rows::Rows(std::uint32_t enterprise, RowHandler& handler) : handler_(handler) {
-  for (std::size_t i = 0; i < kOwnNames.size(); ++i) {
+RowBuilder::RowBuilder(std::uint32_t enterprise, RowHandler& handler) : handler_(handler) {
+  for (std::size_t i = 0; i < kElementNames.size(); ++i) {
     const auto id = static_cast<std::uint16_t>(i + 1);
-    own_[{enterprise, id, false}] = static_cast<Own>(i);
-    own_[{0, static_cast<std::uint16_t>(kOwn9 + id), false}] = static_cast<Own>(i);
+    elements_[{enterprise, id, false}] = static_cast<Element>(i);
+    elements_[{0, static_cast<std::uint16_t>(kEnterpriseBase9 + id), false}] = static_cast<Element>(i);
   }
 }
 
-std::string Rows::element_name(const FieldKey& key) const {
+std::string RowBuilder::element_name(const FieldKey& key) const {
   std::string name;
-  if (const auto own = own_.find(key); own != own_.end())
-    name = kOwnNames[static_cast<std::size_t>(own->second)];
-  else if (const auto learnt = learnt_.find(key); learnt != learnt_.end())
+  if (const auto element = elements_.find(key); element != elements_.end())
+    name = kElementNames[static_cast<std::size_t>(element->second)];
+  else if (const auto learnt = learnt_names_.find(key); learnt != learnt_names_.end())
     name = learnt->second;
   else if (const auto iana = kIana.find(key.id); key.enterprise == 0 && iana != kIana.end())
     name = iana->second;
@@ -96,8 +97,8 @@
   return key.reverse ? "reverse:" + name : name;
 }
 
-// RFC 5610, 3.9
-void Rows::learn(const std::vector<Value>& values) {
+// Stores the name that an exporter gives to one of its enterprise elements (RFC 5610, 3.9).
+void RowBuilder::learn_element(const std::vector<Value>& values) {
   FieldKey key;
   std::string name;
   for (const Value& value : values) {
@@ -105,23 +106,24 @@
     if (value.key == FieldKey{0, 303, false}) key.id = static_cast<std::uint16_t>(number_of(value) & 0x7fff);
     if (value.key == FieldKey{0, 341, false}) name = std::string(value.bytes.substr(0, 64));
   }
-  if (key.enterprise == 0 || name.empty() || learnt_.size() >= kLearntMost) return;
-  learnt_[key] = name;
-  const auto known = std::find(kOwnNames.begin(), kOwnNames.end(), name);
-  if (known != kOwnNames.end()) own_[key] = static_cast<Own>(known - kOwnNames.begin());
+  if (key.enterprise == 0 || name.empty() || learnt_names_.size() >= kMaxLearntElements) return;
+  learnt_names_[key] = name;
+  const auto known = std::find(kElementNames.begin(), kElementNames.end(), name);
+  if (known != kElementNames.end()) elements_[key] = static_cast<Element>(known - kElementNames.begin());
 }
 
-void Rows::record(const MessageHead& head, const std::vector<Value>& values, std::size_t scope) {
-  if (scope == 0) return flow(head, values);
+void RowBuilder::record(const MessageHeader& header, const std::vector<Value>& values, std::size_t scope) {
+  if (scope == 0) return flow(header, values);
   NameRow name;
   NotSentRow not_sent;
   bool is_name = false, is_not_sent = false, is_type = false, is_exporter = false;
   std::uint64_t port = 0, flows = 0, started = 0;
   for (const Value& value : values) {
-    if (const auto own = own_.find(value.key); own != own_.end()) {
-      if (own->second == Own::kKind) name.kind = static_cast<int>(number_of(value));
-      if (own->second == Own::kNumber) name.number = static_cast<std::uint32_t>(number_of(value));
-      if (own->second == Own::kName) {
+    if (const auto element = elements_.find(value.key); element != elements_.end()) {
+      if (element->second == Element::kNameKind) name.kind = static_cast<int>(number_of(value));
+      if (element->second == Element::kNameReference)
+        name.number = static_cast<std::uint32_t>(number_of(value));
+      if (element->second == Element::kReferenceName) {
         is_name = true;
         name.name = std::string(value.bytes.substr(0, std::min(value.bytes.find('\0'), value.bytes.size())));
       }
@@ -160,48 +162,49 @@
         break;
     }
   }
-  if (is_type) return learn(values);
-  if (is_name) return handler_.name(head, name);
+  if (is_type) return learn_element(values);
+  if (is_name) return handler_.name(header, name);
   if (is_not_sent) {
     not_sent.collector += fmt::format("#{}", port);
-    return handler_.not_sent(head, not_sent);
+    return handler_.not_sent(header, not_sent);
   }
-  if (is_exporter) handler_.exporter(head, static_cast<double>(started) / 1000, flows);
+  if (is_exporter) handler_.exporter(header, static_cast<double>(started) / 1000, flows);
 }
 
-void Rows::flow(const MessageHead& head, const std::vector<Value>& values) {
+void RowBuilder::flow(const MessageHeader& header, const std::vector<Value>& values) {
   FlowRow row;
-  const double booted = head.export_time - head.uptime_ms / 1000.0;  // NetFlow's times count from there
+  const double boot_time =
+      header.export_time - header.uptime_ms / 1000.0;  // NetFlow's times are relative to it
   for (const Value& value : values) {
     const std::uint64_t number = number_of(value);
-    const int way = value.key.reverse ? 1 : 0;
-    if (const auto own = own_.find(value.key); own != own_.end()) {
-      switch (own->second) {
-        case Own::kLocation:
+    const int direction = value.key.reverse ? 1 : 0;
+    if (const auto element = elements_.find(value.key); element != elements_.end()) {
+      switch (element->second) {
+        case Element::kLocation:
           row.location = static_cast<std::uint32_t>(number);
           break;
-        case Own::kNode:
+        case Element::kNode:
           row.node = static_cast<std::uint32_t>(number);
           break;
-        case Own::kRequestClass:
+        case Element::kRequestClass:
           row.request_class = static_cast<std::uint32_t>(number);
           break;
-        case Own::kPart:
-          row.part = static_cast<int>(number);
+        case Element::kNodeRole:
+          row.node_role = static_cast<int>(number);
           break;
-        case Own::kOutcome:
+        case Element::kOutcome:
           row.outcome = static_cast<int>(number);
           break;
-        case Own::kNote:
-          row.note = static_cast<int>(number);
+        case Element::kCacheNote:
+          row.answer_detail = static_cast<int>(number);
           break;
-        case Own::kRequests:
+        case Element::kRequests:
           row.requests = static_cast<std::uint32_t>(number);
           break;
-        case Own::kTotal:
+        case Element::kPayloadTotal:
           row.total[0] = number;
           break;
-        case Own::kTotalReverse:
+        case Element::kReversePayloadTotal:
           row.total[1] = number;
           break;
         default:
@@ -235,34 +238,34 @@
         row.end = static_cast<double>(number) / 1000;
         break;
       case 22:
-        row.start = booted + static_cast<double>(number) / 1000;
+        row.start = boot_time + static_cast<double>(number) / 1000;
         break;
       case 21:
-        row.end = booted + static_cast<double>(number) / 1000;
+        row.end = boot_time + static_cast<double>(number) / 1000;
         break;
       case 136:
-      case kOwn9 + 42:
+      case kEnterpriseBase9 + 42:
         row.reason = static_cast<int>(number);
         break;
       case 401:
-        row.octets[way] = number;
+        row.octets[direction] = number;
         row.has_payload = true;
         break;
-      case kOwn9 + 40:
+      case kEnterpriseBase9 + 40:
         row.octets[0] = number;
         row.has_payload = true;
         break;
-      case kOwn9 + 41:
+      case kEnterpriseBase9 + 41:
         row.octets[1] = number;
         break;
       case 2:
-        row.packets[way] = number;
+        row.packets[direction] = number;
         break;
       case 24:
         row.packets[1] = number;
         break;
       case 1:
-        row.wire[way] = number;
+        row.wire[direction] = number;
         break;
       case 23:
         row.wire[1] = number;
@@ -272,7 +275,7 @@
     }
   }
   if (!row.has_payload) std::copy(row.wire, row.wire + 2, row.octets);
-  handler_.flow(head, row);
+  handler_.flow(header, row);
 }
 
 }  // namespace hareramp::flows_tool
--- a/src/flows_tool/rows.hpp
+++ b/src/flows_tool/rows.hpp
@@ -1,5 +1,6 @@
-// Makes rows of the records that a decoder reads: flows, names, what was not sent. Knows the director's own
-// elements by the numbers of docs/flow-export.md, and by RFC 5610 records where an exporter tells others.
+// Converts decoded records into rows: flows, names, and totals of what was not sent. The director's
+// enterprise elements are recognized by the numbers in docs/flow-export.md, or by name where an exporter
+// declares other numbers in RFC 5610 records.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +15,14 @@
 
 struct FlowRow {
   std::uint64_t id = 0;
-  std::string initiator, responder;  // address as text
+  std::string initiator, responder;  // addresses as text
   std::uint16_t initiator_port = 0, responder_port = 0;
   double start = 0, end = 0;  // Unix seconds
-  int reason = 0, part = 0, outcome = 0, note = 0;
+  int reason = 0, node_role = 0, outcome = 0, answer_detail = 0;
   std::uint32_t location = 0, node = 0, request_class = 0, requests = 0;
   std::uint64_t octets[2] = {0, 0}, packets[2] = {0, 0}, wire[2] = {0, 0}, total[2] = {0, 0};
-  bool has_payload = false;  // the exporter tells octets of payload; else those on the wire stand for them
+  // The exporter reports payload octets. If not, octets is a copy of wire.
+  bool has_payload = false;
 };
 
 struct NameRow {
@@ -37,40 +39,41 @@
 class RowHandler {
  public:
   virtual ~RowHandler() = default;
-  virtual void flow(const MessageHead& head, const FlowRow& row) = 0;
-  virtual void name(const MessageHead& head, const NameRow& row) = 0;
-  virtual void not_sent(const MessageHead& head, const NotSentRow& row) = 0;
-  virtual void exporter(const MessageHead& head, double started, std::uint64_t flows) = 0;
+  virtual void flow(const MessageHeader& header, const FlowRow& row) = 0;
+  virtual void name(const MessageHeader& header, const NameRow& row) = 0;
+  virtual void not_sent(const MessageHeader& header, const NotSentRow& row) = 0;
+  virtual void exporter(const MessageHeader& header, double started, std::uint64_t flows) = 0;
 };
 
-class Rows {
+class RowBuilder {
  public:
-  Rows(std::uint32_t enterprise, RowHandler& handler);
-  void record(const MessageHead& head, const std::vector<Value>& values, std::size_t scope);
-  // The name of an element as dump shows it: ours, learnt, or its number.
+  RowBuilder(std::uint32_t enterprise, RowHandler& handler);
+  void record(const MessageHeader& header, const std::vector<Value>& values, std::size_t scope);
+  // The display name of an element: that of a hareramp element, one learnt from RFC 5610 records, or that of
+  // an IANA element; failing these, its number.
   std::string element_name(const FieldKey& key) const;
 
  private:
-  enum class Own {
+  enum class Element {
     kLocation,
     kNode,
     kRequestClass,
-    kPart,
+    kNodeRole,
     kOutcome,
-    kNote,
+    kCacheNote,
     kRequests,
-    kTotal,
-    kTotalReverse,
-    kNumber,
-    kKind,
-    kName
+    kPayloadTotal,
+    kReversePayloadTotal,
+    kNameReference,
+    kNameKind,
+    kReferenceName
   };
-  void learn(const std::vector<Value>& values);
-  void flow(const MessageHead& head, const std::vector<Value>& values);
+  void learn_element(const std::vector<Value>& values);
+  void flow(const MessageHeader& header, const std::vector<Value>& values);
 
   RowHandler& handler_;
-  std::map<FieldKey, Own> own_;
-  std::map<FieldKey, std::string> learnt_;
+  std::map<FieldKey, Element> elements_;
+  std::map<FieldKey, std::string> learnt_names_;
 };
 
 std::string address_text(std::string_view bytes);
--- a/tests/flow/encoder_test.cpp
+++ b/tests/flow/encoder_test.cpp
@@ -1,5 +1,5 @@
-// What the encoder writes, read by two readers that share nothing with it: libfixbuf and our collector's
-// decoder.
+// Tests of the encoder: its messages are decoded by two implementations that share no code with it, libfixbuf
+// and the collector's decoder.
 #include "ipfix/encoder.hpp"
 
 #include <fixbuf/public.h>
@@ -19,72 +19,75 @@
 namespace {
 
 Record sample(std::uint64_t id, bool v6) {
-  Record r;
-  r.id = id;
-  r.initiator.v6 = r.responder.v6 = v6;
+  Record record;
+  record.id = id;
+  record.initiator.v6 = record.responder.v6 = v6;
   for (std::size_t i = 0; i < 16; ++i)
-    r.initiator.address[i] = static_cast<std::uint8_t>(i + 1),
-    r.responder.address[i] = static_cast<std::uint8_t>(0xf0 + i);
-  r.initiator.port = 40000, r.responder.port = 443;
-  r.node_role = NodeRole::kParent;
-  r.node = {0xfedcba98u};
-  r.label = {{11}, {22}, Outcome::kFailed, 7};
-  r.start = 1796147672.125, r.end = 1796147680.5;
-  r.delta.octets = {1, 0x123456789abcull}, r.delta.packets = {2, 3}, r.delta.wire = {4, 5};
-  r.total.octets = {0xffffffffffffull, 6};
-  r.requests = 9;
-  r.reason = EndReason::kLackOfResources;
-  return r;
+    record.initiator.address[i] = static_cast<std::uint8_t>(i + 1),
+    record.responder.address[i] = static_cast<std::uint8_t>(0xf0 + i);
+  record.initiator.port = 40000, record.responder.port = 443;
+  record.node_role = NodeRole::kParent;
+  record.node = {0xfedcba98u};
+  record.label = {{11}, {22}, Outcome::kFailed, 7};
+  record.start = 1796147672.125, record.end = 1796147680.5;
+  record.delta.octets = {1, 0x123456789abcull}, record.delta.packets = {2, 3}, record.delta.wire = {4, 5};
+  record.total.octets = {0xffffffffffffull, 6};
+  record.requests = 9;
+  record.reason = EndReason::kLackOfResources;
+  return record;
 }
 
-struct Read : flows_tool::Reader, flows_tool::RowHandler {
-  flows_tool::Rows rows{32473, *this};
+struct RowRecorder : flows_tool::DecoderHandler, flows_tool::RowHandler {
+  flows_tool::RowBuilder rows{32473, *this};
   std::vector<flows_tool::FlowRow> flows;
   std::map<std::pair<int, std::uint32_t>, std::string> names;
   std::string trace;
-  bool message(const flows_tool::MessageHead&) override { return true; }
-  void record(const flows_tool::MessageHead& head, std::uint16_t,
+  bool message(const flows_tool::MessageHeader&) override { return true; }
+  void record(const flows_tool::MessageHeader& header, std::uint16_t,
               const std::vector<flows_tool::Value>& values, std::size_t scope) override {
-    rows.record(head, values, scope);
+    rows.record(header, values, scope);
   }
-  void message_ends(const flows_tool::MessageHead&) override {}
-  void flow(const flows_tool::MessageHead&, const flows_tool::FlowRow& row) override { flows.push_back(row); }
-  void name(const flows_tool::MessageHead&, const flows_tool::NameRow& row) override {
+  void message_end(const flows_tool::MessageHeader&) override {}
+  void flow(const flows_tool::MessageHeader&, const flows_tool::FlowRow& row) override {
+    flows.push_back(row);
+  }
+  void name(const flows_tool::MessageHeader&, const flows_tool::NameRow& row) override {
     names[{row.kind, row.number}] = row.name;
   }
-  void not_sent(const flows_tool::MessageHead&, const flows_tool::NotSentRow& row) override {
+  void not_sent(const flows_tool::MessageHeader&, const flows_tool::NotSentRow& row) override {
     trace += fmt::format("not sent to {}: {} flows, {} packets, {} octets\n", row.collector, row.flows,
                          row.packets, row.octets);
   }
-  void exporter(const flows_tool::MessageHead&, double started, std::uint64_t flows_told) override {
-    trace += fmt::format("exporter since {:.3f}, {} flows\n", started, flows_told);
+  void exporter(const flows_tool::MessageHeader&, double started, std::uint64_t reported_flows) override {
+    trace += fmt::format("exporter since {:.3f}, {} flows\n", started, reported_flows);
   }
 };
 
-std::string text(const flows_tool::FlowRow& r) {
+std::string text(const flows_tool::FlowRow& row) {
   return fmt::format(
       "{} {}:{} -> {}:{} {:.3f} {:.3f} reason {} part {} outcome {} note {} depot {} node {} grade {} "
       "requests "
       "{} octets "
       "{}/{} packets {}/{} wire {}/{} total {}/{}\n",
-      r.id, r.initiator, r.initiator_port, r.responder, r.responder_port, r.start, r.end, r.reason, r.part,
-      r.outcome, r.note, r.location, r.node, r.request_class, r.requests, r.octets[0], r.octets[1],
-      r.packets[0], r.packets[1], r.wire[0], r.wire[1], r.total[0], r.total[1]);
+      row.id, row.initiator, row.initiator_port, row.responder, row.responder_port, row.start, row.end,
+      row.reason, row.node_role, row.outcome, row.answer_detail, row.location, row.node, row.request_class,
+      row.requests, row.octets[0], row.octets[1], row.packets[0], row.packets[1], row.wire[0], row.wire[1],
+      row.total[0], row.total[1]);
 }
 
 EncoderSettings settings(Version version, std::size_t bytes = 1400) {
-  EncoderSettings made;
-  made.version = version;
-  made.domain = 77, made.enterprise = 32473, made.message_bytes = bytes;
-  made.started = 1796147000.25;
-  return made;
+  EncoderSettings encoder_settings;
+  encoder_settings.version = version;
+  encoder_settings.domain = 77, encoder_settings.enterprise = 32473, encoder_settings.message_bytes = bytes;
+  encoder_settings.started = 1796147000.25;
+  return encoder_settings;
 }
 
 constexpr double kNow = 1796147690.75;
 
 }  // namespace
 
-TEST_CASE("a record comes through IPFIX and NetFlow v9 field by field, for IPv4 and IPv6") {
+TEST_CASE("each field of a record survives IPFIX and NetFlow v9, for IPv4 and IPv6") {
   std::string trace;
   for (const Version version : {Version::kIpfix, Version::kNetflow9}) {
     std::vector<Message> messages;
@@ -94,20 +97,20 @@
     for (const bool v6 : {false, true, false}) encoder.flow(kNow, sample(5, v6));
     encoder.name(kNow, NameKind::kRequestClass, {11}, "scan-batches");
     encoder.name(kNow, NameKind::kLocation, {22}, "north");
-    Endpoint to;
-    to.address = {127, 0, 0, 1}, to.port = 4739;
-    encoder.not_sent(kNow, to, {1, 2, 3});
+    Endpoint collector;
+    collector.address = {127, 0, 0, 1}, collector.port = 4739;
+    encoder.not_sent(kNow, collector, {1, 2, 3});
     encoder.exporter(kNow, 4, 5, 6);
     encoder.flush(kNow);
-    Read read;
-    flows_tool::Decoder decoder({}, read);
+    RowRecorder recorder;
+    flows_tool::Decoder decoder({}, recorder);
     if (version == Version::kIpfix)
       CHECK(decoder.message("s", encoder.session_templates(kNow, Encoder::sequence_of(messages[0].bytes))));
     for (const Message& message : messages) CHECK(decoder.message("s", message.bytes));
-    for (const auto& row : read.flows) trace += text(row);
-    trace += read.trace;
-    CHECK(read.names[{3, 11}] == "scan-batches");
-    CHECK(read.names[{1, 22}] == "north");
+    for (const auto& row : recorder.flows) trace += text(row);
+    trace += recorder.trace;
+    CHECK(recorder.names[{3, 11}] == "scan-batches");
+    CHECK(recorder.names[{1, 22}] == "north");
     CHECK(decoder.counts().lost + decoder.counts().no_template + decoder.counts().bad_set == 0);
     CHECK(messages[0].flows == 3);
     CHECK(messages[0].packets == 15);
@@ -116,7 +119,7 @@
   check_trace("flow_records", trace);
 }
 
-TEST_CASE("messages keep to their size, and their numbers run on") {
+TEST_CASE("messages stay within their maximum size, and their sequence numbers have no gaps") {
   for (const Version version : {Version::kIpfix, Version::kNetflow9}) {
     for (const std::size_t bytes : {1024u, 1400u, 9000u}) {
       std::vector<Message> messages;
@@ -129,8 +132,8 @@
           encoder.name(kNow, NameKind::kNode, {static_cast<std::uint32_t>(i + 1)}, std::string(60, 'n'));
       }
       encoder.flush(kNow);
-      Read read;
-      flows_tool::Decoder decoder({}, read);
+      RowRecorder recorder;
+      flows_tool::Decoder decoder({}, recorder);
       if (version == Version::kIpfix) {
         const std::string templates = encoder.session_templates(kNow, 0);
         CHECK(templates.size() <= 1024);
@@ -143,7 +146,7 @@
         CHECK(decoder.message("s", message.bytes));
       }
       CHECK(flows == 500);
-      CHECK(read.flows.size() == 500);
+      CHECK(recorder.flows.size() == 500);
       CHECK(decoder.counts().lost + decoder.counts().out_of_order == 0);
       CHECK(messages.back().next_sequence == encoder.sequence());
     }
@@ -152,8 +155,8 @@
 
 namespace {
 
-// The fields of our flow records as libfixbuf is to lay them out.
-struct Laid {
+// The layout in which libfixbuf returns the fields of a flow record.
+struct FixbufRecord {
   std::uint64_t flowId, flowStartMilliseconds, flowEndMilliseconds, octets, reverse_octets, packets,
       reverse_packets;
   std::uint32_t sourceIPv4Address, destinationIPv4Address, request_class;
@@ -161,26 +164,26 @@
   std::uint8_t flowEndReason, outcome, padding[2];
 };
 
-fbInfoElementSpec_t laid_fields[] = {{const_cast<char*>("flowId"), 8, 0},
-                                     {const_cast<char*>("flowStartMilliseconds"), 8, 0},
-                                     {const_cast<char*>("flowEndMilliseconds"), 8, 0},
-                                     {const_cast<char*>("transportOctetDeltaCount"), 8, 0},
-                                     {const_cast<char*>("reverseTransportOctetDeltaCount"), 8, 0},
-                                     {const_cast<char*>("packetDeltaCount"), 8, 0},
-                                     {const_cast<char*>("reversePacketDeltaCount"), 8, 0},
-                                     {const_cast<char*>("sourceIPv4Address"), 4, 0},
-                                     {const_cast<char*>("destinationIPv4Address"), 4, 0},
-                                     {const_cast<char*>("gradeReference"), 4, 0},
-                                     {const_cast<char*>("sourceTransportPort"), 2, 0},
-                                     {const_cast<char*>("destinationTransportPort"), 2, 0},
-                                     {const_cast<char*>("flowEndReason"), 1, 0},
-                                     {const_cast<char*>("requestOutcome"), 1, 0},
-                                     {const_cast<char*>("paddingOctets"), 2, 0},
-                                     {nullptr, 0, 0}};
+fbInfoElementSpec_t fixbuf_fields[] = {{const_cast<char*>("flowId"), 8, 0},
+                                       {const_cast<char*>("flowStartMilliseconds"), 8, 0},
+                                       {const_cast<char*>("flowEndMilliseconds"), 8, 0},
+                                       {const_cast<char*>("transportOctetDeltaCount"), 8, 0},
+                                       {const_cast<char*>("reverseTransportOctetDeltaCount"), 8, 0},
+                                       {const_cast<char*>("packetDeltaCount"), 8, 0},
+                                       {const_cast<char*>("reversePacketDeltaCount"), 8, 0},
+                                       {const_cast<char*>("sourceIPv4Address"), 4, 0},
+                                       {const_cast<char*>("destinationIPv4Address"), 4, 0},
+                                       {const_cast<char*>("gradeReference"), 4, 0},
+                                       {const_cast<char*>("sourceTransportPort"), 2, 0},
+                                       {const_cast<char*>("destinationTransportPort"), 2, 0},
+                                       {const_cast<char*>("flowEndReason"), 1, 0},
+                                       {const_cast<char*>("requestOutcome"), 1, 0},
+                                       {const_cast<char*>("paddingOctets"), 2, 0},
+                                       {nullptr, 0, 0}};
 
 }  // namespace
 
-TEST_CASE("libfixbuf reads the same") {
+TEST_CASE("libfixbuf decodes the encoded records with the same values") {
   std::vector<Message> messages;
   Encoder encoder(settings(Version::kIpfix),
                   [&](Message message) { messages.push_back(std::move(message)); });
@@ -188,23 +191,24 @@
   encoder.flush(kNow);
 
   fbInfoModel_t* model = fbInfoModelAlloc();
-  fbInfoElement_t own[] = {FB_IE_INIT("gradeReference", 32473, 3, 4, FB_IE_F_ENDIAN),
-                           FB_IE_INIT("requestOutcome", 32473, 5, 1, FB_IE_F_ENDIAN), FB_IE_NULL};
-  fbInfoModelAddElementArray(model, own);
+  fbInfoElement_t enterprise_elements[] = {FB_IE_INIT("gradeReference", 32473, 3, 4, FB_IE_F_ENDIAN),
+                                           FB_IE_INIT("requestOutcome", 32473, 5, 1, FB_IE_F_ENDIAN),
+                                           FB_IE_NULL};
+  fbInfoModelAddElementArray(model, enterprise_elements);
   GError* error = nullptr;
-  fbTemplate_t* laid = fbTemplateAlloc(model);
-  REQUIRE(fbTemplateAppendSpecArray(laid, laid_fields, 0xffffffff, &error));
+  fbTemplate_t* record_template = fbTemplateAlloc(model);
+  REQUIRE(fbTemplateAppendSpecArray(record_template, fixbuf_fields, 0xffffffff, &error));
   fbSession_t* session = fbSessionAlloc(model);
-  REQUIRE(fbSessionAddTemplate(session, TRUE, 1000, laid, &error) != 0);
+  REQUIRE(fbSessionAddTemplate(session, TRUE, 1000, record_template, &error) != 0);
   fBuf_t* buffer = fBufAllocForCollection(session, nullptr);
   std::string bytes = encoder.session_templates(kNow, 0) + messages[0].bytes;
-  auto* at = reinterpret_cast<std::uint8_t*>(bytes.data());
+  auto* raw = reinterpret_cast<std::uint8_t*>(bytes.data());
   std::string trace;
   for (std::size_t done = 0; done < bytes.size();) {
-    const std::size_t length = static_cast<std::size_t>(at[done + 2]) << 8 | at[done + 3];
-    fBufSetBuffer(buffer, at + done, length);
+    const std::size_t length = static_cast<std::size_t>(raw[done + 2]) << 8 | raw[done + 3];
+    fBufSetBuffer(buffer, raw + done, length);
     REQUIRE(fBufSetInternalTemplate(buffer, 1000, &error));
-    Laid row{};
+    FixbufRecord row{};
     std::size_t size = sizeof row;
     while (fBufNext(buffer, reinterpret_cast<std::uint8_t*>(&row), &size, &error)) {
       trace += fmt::format("{} {:x}:{} {:x}:{} {} {} {} {} {} {} grade {} reason {} outcome {}\n", row.flowId,
--- a/tests/flow/fuzz.cpp
+++ b/tests/flow/fuzz.cpp
@@ -1,5 +1,6 @@
-// libFuzzer's entry to the collector: the input is a stream of messages of one session, split by their
-// lengths, with two bytes of length before each NetFlow v9 packet. cmake -DHARERAMP_FUZZ=ON with clang++.
+// libFuzzer entry point for the collector's decoder. The input is a stream of messages of one session: an
+// IPFIX message is split off by the length in its header, a NetFlow v9 packet by two length bytes before it.
+// Build with clang++ and cmake -DHARERAMP_FUZZ=ON.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
@@ -10,27 +11,27 @@
 using namespace hareramp::flows_tool;
 
 namespace {
-struct Sink : Reader, RowHandler {
-  Rows rows{32473, *this};
-  std::uint64_t seen = 0;
-  bool message(const MessageHead&) override { return true; }
-  void record(const MessageHead& head, std::uint16_t, const std::vector<Value>& values,
+struct Sink : DecoderHandler, RowHandler {
+  RowBuilder rows{32473, *this};
+  std::uint64_t consumed = 0;
+  bool message(const MessageHeader&) override { return true; }
+  void record(const MessageHeader& header, std::uint16_t, const std::vector<Value>& values,
               std::size_t scope) override {
-    rows.record(head, values, scope);
-    for (const Value& value : values) seen += rows.element_name(value.key).size();
+    rows.record(header, values, scope);
+    for (const Value& value : values) consumed += rows.element_name(value.key).size();
   }
-  void message_ends(const MessageHead&) override {}
-  void flow(const MessageHead&, const FlowRow& row) override { seen += row.octets[0]; }
-  void name(const MessageHead&, const NameRow& row) override { seen += row.name.size(); }
-  void not_sent(const MessageHead&, const NotSentRow& row) override { seen += row.flows; }
-  void exporter(const MessageHead&, double, std::uint64_t flows) override { seen += flows; }
+  void message_end(const MessageHeader&) override {}
+  void flow(const MessageHeader&, const FlowRow& row) override { consumed += row.octets[0]; }
+  void name(const MessageHeader&, const NameRow& row) override { consumed += row.name.size(); }
+  void not_sent(const MessageHeader&, const NotSentRow& row) override { consumed += row.flows; }
+  void exporter(const MessageHeader&, double, std::uint64_t flows) override { consumed += flows; }
 };
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   Sink sink;
   DecoderBounds bounds;
-  bounds.sessions = 4, bounds.templates = 16, bounds.all_fields = 512;
+  bounds.sessions = 4, bounds.templates = 16, bounds.total_fields = 512;
   Decoder decoder(bounds, sink);
   std::string_view rest(reinterpret_cast<const char*>(data), size);
   decoder.message("whole", rest);
@@ -42,11 +43,11 @@
       rest.remove_prefix(*length);
       continue;
     }
-    const std::size_t some = static_cast<std::size_t>(static_cast<unsigned char>(rest[0]) << 8 |
-                                                      static_cast<unsigned char>(rest[1]));
+    const std::size_t length9 = static_cast<std::size_t>(static_cast<unsigned char>(rest[0]) << 8 |
+                                                         static_cast<unsigned char>(rest[1]));
     rest.remove_prefix(2);
-    decoder.message("s", rest.substr(0, std::min(some, rest.size())));
-    rest.remove_prefix(std::min(some, rest.size()));
+    decoder.message("s", rest.substr(0, std::min(length9, rest.size())));
+    rest.remove_prefix(std::min(length9, rest.size()));
   }
   if (decoder.sessions() > 4) __builtin_trap();
   return 0;
