--- a/src/flows_tool/archive.hpp
+++ b/src/flows_tool/archive.hpp
@@ -79,7 +79,7 @@
   std::uint64_t messages = 0, duplicates = 0, flows = 0, removed = 0, too_far = 0;
   std::uint64_t failed = 0;          // messages refused because the queue for the disk is full
   std::uint64_t commits_failed = 0;  // transactions that failed and are retried
-  std::uint64_t damaged = 0;         // partitions moved aside
+  std::uint64_t damaged = 0;         // damaged partitions that were renamed
 };
 
 // The time by two clocks, in Unix seconds: a steady one that starts at the system time and never goes back,
@@ -109,9 +109,10 @@
   // Commits the waiting messages, so that they are durable and visible to readers, unless the pause after a
   // disk failure is still running; removes old partitions.
   void commit(const ClockReading& now);
-  // Tries once more to store what waits; returns how many messages could not be stored and are lost.
+  // Tries once more to store the waiting messages; returns how many messages could not be stored and are
+  // lost.
   std::size_t finish();
-  // True: new messages are refused until waiting ones have been stored.
+  // True: new messages are refused until some of the waiting ones have been stored.
   bool full() const { return rows_waiting_ >= bounds_.waiting_rows; }
   std::size_t waiting() const { return waiting_.size(); }  // messages
   const std::string& last_error() const { return last_error_; }
