--- a/src/program/operator.cpp
+++ b/src/program/operator.cpp
@@ -54,7 +54,7 @@
   settings.enterprise_number = value_or<std::uint32_t>(object, "enterprise_number", 32473);
   settings.active_timeout = value_or(object, "active_timeout_s", 60.0);
   settings.idle_timeout = value_or(object, "idle_timeout_s", 15.0);
-  settings.flows_most =
+  settings.max_flows =
       value_or<std::size_t>(object, "flows_most", std::max<std::size_t>(16, memory / 16 / kBytesPerFlow));
   settings.message_bytes = value_or<std::size_t>(object, "message_bytes", 1400);
   settings.template_resend = value_or(object, "template_resend_s", 60.0);
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -97,9 +97,9 @@
       last_active_at_(Scheduler::now()) {
   if (!listener.flows_) return;
   location_ = listener.flows_->location_of(socket_.descriptor());
-  auto observer = listener.flows_->client(socket_.descriptor());
+  auto observer = listener.flows_->observe_client(socket_.descriptor());
   flow_observer_ = observer.get();
-  if (flow_observer_) flow_observer_->writing_for({});
+  if (flow_observer_) flow_observer_->set_write_label({});
   socket_.observe(std::move(observer));
 }
 
@@ -263,12 +263,12 @@
     std::string extra_headers;
     const auto pause = static_cast<long long>(std::ceil(retry_after * 1000));
     if (pause > 0) extra_headers = "X-Pushback-Ms: " + std::to_string(pause) + "\r\n";
-    answer(503, extra_headers, "", ipfix::Outcome::kBounced);
+    answer(503, extra_headers, "", ipfix::Outcome::kRejected);
   });
 }
 
 void ClientConnection::failed(const RequestId& request) {
-  post_answer(request, kFailedAnswer, [this] { answer(500, "", "", ipfix::Outcome::kForfeited); });
+  post_answer(request, kFailedAnswer, [this] { answer(500, "", "", ipfix::Outcome::kFailed); });
 }
 
 // Answers a request that cannot be read with this status; whatever follows on the connection is ignored.
@@ -287,8 +287,8 @@
     label = {request_class_, location_, outcome, static_cast<std::uint8_t>(detail)};
   else
     label.location = location_;
-  flow_observer_->read_for(label, std::exchange(request_bytes_, 0));
-  flow_observer_->writing_for(label);
+  flow_observer_->attribute_read(label, std::exchange(request_bytes_, 0));
+  flow_observer_->set_write_label(label);
   if (outcome != ipfix::Outcome::kNone) flow_observer_->request_ended(label);
 }
 
@@ -298,7 +298,7 @@
     begin_answer(status, extra_headers, std::move(bytes), outcome, detail);
   } catch (...) {  // no memory for the answer
     listener_.report_failure(std::current_exception());
-    const bool may_have_run = outcome == ipfix::Outcome::kCompleted || outcome == ipfix::Outcome::kForfeited;
+    const bool may_have_run = outcome == ipfix::Outcome::kCompleted || outcome == ipfix::Outcome::kFailed;
     answer_and_close(may_have_run ? kFailedAnswer : kRejectedAnswer);
   }
 }
@@ -423,7 +423,7 @@
         true;  // at once, ahead of the calls that are posted to the DirectorActor
   const bool was_awaiting_director = std::exchange(awaiting_director_, false);
   try {
-    if (was_awaiting_director) label_flow(ipfix::Outcome::kLeft, AnswerDetail::kNone);
+    if (was_awaiting_director) label_flow(ipfix::Outcome::kCancelled, AnswerDetail::kNone);
     if (was_awaiting_director) listener_.director_.client_left(open_request_id_);
   } catch (...) {  // no memory: the Director is not informed, and the request ends at its deadline
     listener_.report_failure(std::current_exception());
--- a/src/routing/client_request.cpp
+++ b/src/routing/client_request.cpp
@@ -144,7 +144,7 @@
   // Nothing of this request has run.
   if (listener_.pending_answer_bytes_ > listener_.limits_.max_pending_answers) {
     listener_.director_.count_rejected_at_limit();
-    answer(503, "", "", ipfix::Outcome::kBounced);
+    answer(503, "", "", ipfix::Outcome::kRejected);
     return true;
   }
   // The request was read from bytes that arrived before the client disconnected: no client waits for the
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -363,18 +363,18 @@
                                AnswerDetail detail, std::size_t octets_read) {
   if (!connection.flow_observer) return;
   using ipfix::Outcome;
-  Outcome outcome = Outcome::kForfeited;
+  Outcome outcome = Outcome::kFailed;
   if (result == Result::kCompleted) outcome = Outcome::kCompleted;
-  if (result == Result::kCancelled) outcome = Outcome::kLeft;
+  if (result == Result::kCancelled) outcome = Outcome::kCancelled;
   if (result == Result::kRejected || result == Result::kNotSent || result == Result::kAbsent ||
       result == Result::kUnreachable)
-    outcome = Outcome::kBounced;
+    outcome = Outcome::kRejected;
   const std::size_t written = std::exchange(open_attempt.octets_written, 0);
   if (written + octets_read == 0) return;  // nothing was transferred, or it has been recorded already
   const ipfix::Label label{open_attempt.request_class, open_attempt.location, outcome,
                            static_cast<std::uint8_t>(detail)};
-  connection.flow_observer->wrote_for(label, written);
-  connection.flow_observer->read_for(label, octets_read);
+  connection.flow_observer->attribute_written(label, written);
+  connection.flow_observer->attribute_read(label, octets_read);
   connection.flow_observer->request_ended(label);
 }
 
@@ -502,7 +502,7 @@
   ++counters_.links_opened;
   connection->socket = std::move(connected.socket);
   if (flows_) {
-    auto flow_observer = flows_->node(connection->socket.descriptor(), role_, node_.value);
+    auto flow_observer = flows_->observe_node(connection->socket.descriptor(), role_, node_.value);
     connection->flow_observer = flow_observer.get();
     connection->socket.observe(std::move(flow_observer));
   }
--- a/tests/flow/export_test.cpp
+++ b/tests/flow/export_test.cpp
@@ -29,7 +29,7 @@
 // A director in front of two caches and the origin, with folders of its own.
 class Scene {
  public:
-  explicit Scene(rig::NodeWays ways = {}, const char* listen_at = "127.0.0.1:0") {
+  explicit Scene(rig::NodeBehavior ways = {}, const char* listen_at = "127.0.0.1:0") {
     folder = files::temp_directory_path() / "hareramp-flows-XXXXXX";
     REQUIRE(mkdtemp(folder.data()) != nullptr);
     const std::map<std::string, std::size_t> sizes = {{"clip", 200000}, {"segment", 3000}, {"note", 50}};
@@ -75,7 +75,7 @@
     collecting->listen_tcp(collector_at);
     collecting->listen_udp(collector_at);
   }
-  rig::Client& client(const char* from, const char* request_class, rig::Reading reading = {}) {
+  rig::Client& client(const char* from, const char* request_class, rig::ReadPattern reading = {}) {
     clients.push_back(std::make_unique<rig::Client>(
         scheduler, listen, *transport::Address::parse(std::string(from) + ":0"), request_class,
         request_class == std::string("note"), reading, clients.size()));
@@ -122,7 +122,7 @@
   }
   std::map<std::string, Sums> sums(std::vector<By> by, const char* part = "") const {
     flows_tool::ReportQuery query;
-    query.by = std::move(by), query.part = part;
+    query.by = std::move(by), query.node_role = part;
     std::map<std::string, Sums> all;
     for (const auto& line : flows_tool::report(folder + "/archive", query))
       all[fmt::format("{}", fmt::join(line.keys, " "))] = {line.octets[0],  line.octets[1], line.packets[0],
@@ -134,7 +134,7 @@
   std::uint64_t records_kept() const {
     try {
       std::uint64_t records = 0;
-      for (const auto& [key, sum] : sums({By::kPart})) records += sum.records;
+      for (const auto& [key, sum] : sums({By::kNodeRole})) records += sum.records;
       return records;
     } catch (const std::exception&) {
       return 0;
@@ -148,7 +148,7 @@
                                   : from_of[i] == "[::1]"   ? "six "
                                                             : "rest ") +
                       request_class_of[i]];
-      const rig::Tally& tally = clients[i]->tally();
+      const rig::ClientCounts& tally = clients[i]->counts();
       sum.out += tally.octets.sent, sum.in += tally.octets.received, sum.requests += tally.asked;
       sum.packets_out += tally.segments.sent, sum.packets_in += tally.segments.received;
       sum.flows += tally.connections;
@@ -158,7 +158,7 @@
 
   std::string folder;
   Scheduler scheduler;
-  rig::QuietChangeLog changes{scheduler};
+  rig::IdleChangeStream changes{scheduler};
   std::vector<std::unique_ptr<rig::Node>> nodes;
   transport::Address listen, collector_at;
   std::unique_ptr<rig::Process> director;
@@ -235,7 +235,7 @@
   scene.settle();
   auto counters = scene.director->counters();
   Sums clients, nodes;
-  for (const auto& [part, sum] : scene.sums({By::kPart})) {
+  for (const auto& [part, sum] : scene.sums({By::kNodeRole})) {
     Sums& to = part == "client" ? clients : nodes;
     to.out += sum.out, to.in += sum.in, to.flows += sum.flows;
   }
@@ -252,9 +252,9 @@
   scene.operators(scene.collector());
   scene.start();
   for (int i = 0; i < 5; ++i) scene.client("127.0.0.2", "segment").start(60, 0.01);
-  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 15; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->counts().asked > 15; }));
   scene.collecting->pause(true);
-  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 40; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->counts().asked > 40; }));
   scene.collecting->pause(false);
   scene.all_done();
   for (int i = 0; i < 3; ++i) scene.client("127.0.0.3", "segment").start(20, 0.01);
@@ -275,7 +275,7 @@
   scene.start();
   for (int i = 0; i < 5; ++i) scene.client("127.0.0.2", "segment").start(80, 0.01);
   for (const std::uint64_t asked : {20u, 45u}) {
-    REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > asked; }));
+    REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->counts().asked > asked; }));
     // What it had committed comes again after its end and must not count twice: so there has to be some.
     REQUIRE(run_until(scene.scheduler, [&] { return scene.records_kept() > 0; }));
     collector->send(SIGKILL);
@@ -383,7 +383,7 @@
     }
   }
   std::uint64_t asked = 0, completed = 0;
-  for (const auto& one : scene.clients) asked += one->tally().asked, completed += one->tally().completed;
+  for (const auto& one : scene.clients) asked += one->counts().asked, completed += one->counts().completed;
   CHECK(completed == asked);
   auto counters = scene.counters();
   CHECK(counters["flow_records_dropped"] > 0);
@@ -403,7 +403,7 @@
   scene.operators(scene.collector("udp"));
   scene.start();
   for (int i = 0; i < 4; ++i) scene.client("127.0.0.2", "segment").start(40, 0.005);
-  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 10; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->counts().asked > 10; }));
   scene.operators(scene.collector("tcp"));
   scene.director->send(SIGHUP);
   scene.counters_until([](auto& now) { return now["reloads"] == 1; });
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -125,7 +125,7 @@
   run.replace(run.find("build/hareramp "), 14, HARERAMP_BINARY);
 
   Scheduler scheduler;
-  rig::QuietChangeLog change_stream(scheduler);
+  rig::IdleChangeStream change_stream(scheduler);
   rig::Node cache(scheduler, {{"segment", 3000}}, {}, 1), origin(scheduler, {{"segment", 3000}}, {}, 2);
   const transport::Address listen = unused_address(scheduler);
   rig::Site site;
@@ -141,7 +141,7 @@
     rig::Client client(scheduler, listen, *transport::Address::parse("127.0.0.1:0"), "segment", false, {}, 1);
     client.start(20, 0);
     REQUIRE(run_until(scheduler, [&] { return client.done(); }));
-    CHECK(client.tally().completed == 20);
+    CHECK(client.counts().completed == 20);
 
     const files::path proc = "/proc/" + std::to_string(director.id());
     CHECK(status_field(proc, "Name") == "hareramp");  // exec has replaced the shell
