--- a/src/flow/exporter.cpp
+++ b/src/flow/exporter.cpp
@@ -151,7 +151,7 @@
       seed_(seed),
       started_(clock_.now()),
       table_(
-          {settings.flows_most, limits.max_flow_connections, settings.active_timeout, settings.idle_timeout},
+          {settings.max_flows, limits.max_flow_connections, settings.active_timeout, settings.idle_timeout},
           static_cast<std::uint64_t>(started_ * 1000) << 20, *this),
       names_(limits.flow_name_retention, limits.max_flow_names),
       tapped_(limits.max_flow_connections) {
@@ -279,12 +279,12 @@
   return number;
 }
 
-std::unique_ptr<FlowObserver> Exporter::client(int descriptor) {
+std::unique_ptr<FlowObserver> Exporter::observe_client(int descriptor) {
   const auto number = opened(descriptor, NodeRole::kClient, {}, true);
   return number ? std::make_unique<FlowObserver>(*this, *number, true) : nullptr;
 }
 
-std::unique_ptr<FlowObserver> Exporter::node(int descriptor, NodeRole part, const std::string& node) {
+std::unique_ptr<FlowObserver> Exporter::observe_node(int descriptor, NodeRole part, const std::string& node) {
   const auto number = opened(descriptor, part, name(ipfix::NameKind::kNode, node), false);
   return number ? std::make_unique<FlowObserver>(*this, *number, false) : nullptr;
 }
--- a/src/flow/exporter.hpp
+++ b/src/flow/exporter.hpp
@@ -44,8 +44,8 @@
   transport::Task<> finish(Seconds until);
 
   // Begins to count a connection that has just come up. Null if there is no room for it.
-  std::unique_ptr<FlowObserver> client(int descriptor);
-  std::unique_ptr<FlowObserver> node(int descriptor, NodeRole part, const std::string& node);
+  std::unique_ptr<FlowObserver> observe_client(int descriptor);
+  std::unique_ptr<FlowObserver> observe_node(int descriptor, NodeRole part, const std::string& node);
   // The depot of a client, by its address; the number of a service grade.
   NameNumber location_of(int descriptor);
   NameNumber request_class(const std::string& name);
--- a/src/flow/flow_observer.cpp
+++ b/src/flow/flow_observer.cpp
@@ -20,16 +20,16 @@
 void FlowObserver::on_written(std::size_t bytes) {
   written_ += bytes;
   (inbound_ ? exporter_.counters_.octets_to_clients : exporter_.counters_.octets_to_nodes) += bytes;
-  if (out_known_) wrote_for(out_, bytes);
+  if (out_known_) attribute_written(out_, bytes);
 }
 
-void FlowObserver::read_for(const Label& label, std::size_t octets) {
+void FlowObserver::attribute_read(const Label& label, std::size_t octets) {
   octets = std::min(octets, read_);
   read_ -= octets;
   exporter_.table_.moved(exporter_.now(), connection_, label, inbound_ ? kForward : kReverse, octets);
 }
 
-void FlowObserver::wrote_for(const Label& label, std::size_t octets) {
+void FlowObserver::attribute_written(const Label& label, std::size_t octets) {
   octets = std::min(octets, written_);
   written_ -= octets;
   exporter_.table_.moved(exporter_.now(), connection_, label, inbound_ ? kReverse : kForward, octets);
@@ -40,8 +40,8 @@
 }
 
 void FlowObserver::on_closing(int) {
-  read_for(Label(), read_);
-  wrote_for(Label(), written_);
+  attribute_read(Label(), read_);
+  attribute_written(Label(), written_);
   exporter_.table_.closed(exporter_.now(), connection_, EndReason::kEnd, exporter_.kernel(connection_));
   exporter_.tapped_[connection_.value].descriptor = -1;
 }
--- a/src/flow/flow_observer.hpp
+++ b/src/flow/flow_observer.hpp
@@ -18,12 +18,12 @@
   FlowObserver(Exporter& exporter, ConnectionNumber connection, bool inbound);
 
   // Of what was read, so many octets belong to this label.
-  void read_for(const Label& label, std::size_t octets);
+  void attribute_read(const Label& label, std::size_t octets);
   // Of what was written and waits for its label, so many do.
-  void wrote_for(const Label& label, std::size_t octets);
+  void attribute_written(const Label& label, std::size_t octets);
   // What is written from now on has this label at once; nothing: it waits for wrote_for().
-  void writing_for(const Label& label) { out_ = label, out_known_ = true; }
-  void writing_unknown() { out_known_ = false; }
+  void set_write_label(const Label& label) { out_ = label, out_known_ = true; }
+  void clear_write_label() { out_known_ = false; }
   void request_ended(const Label& label);
 
   void on_read(std::size_t bytes) override;
--- a/src/flow/settings.hpp
+++ b/src/flow/settings.hpp
@@ -37,7 +37,7 @@
   bool enabled = false;
   // taken at the start only
   std::uint32_t observation_domain = 1, enterprise_number = 0;
-  std::size_t flows_most = 0, message_bytes = 0, queue_bytes = 0;
+  std::size_t max_flows = 0, message_bytes = 0, queue_bytes = 0;
   SpoolSettings spool;
   // taken by a reload too
   double active_timeout = 0, idle_timeout = 0, template_resend = 0, resend = 0;
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -53,7 +53,7 @@
   const flow::ExportSettings& flows = file.flow_export;
   if (!flows.enabled) return fmt::print(out, "operator's file: flow export is off\n");
   fmt::print(out, "operator's file: flow export to {} collectors, {} flows at most, {} networks, spool {}\n",
-             flows.collectors.size(), flows.flows_most, flows.networks->size(),
+             flows.collectors.size(), flows.max_flows, flows.networks->size(),
              flows.spool.enabled ? flows.spool.directory : "off");
 }
 
--- a/src/program/operator.cpp
+++ b/src/program/operator.cpp
@@ -51,7 +51,7 @@
   out.enterprise_number = or_else<std::uint32_t>(object, "enterprise_number", 32473);
   out.active_timeout = or_else(object, "active_timeout_s", 60.0);
   out.idle_timeout = or_else(object, "idle_timeout_s", 15.0);
-  out.flows_most =
+  out.max_flows =
       or_else<std::size_t>(object, "flows_most", std::max<std::size_t>(16, memory / 16 / kFlowBytes));
   out.message_bytes = or_else<std::size_t>(object, "message_bytes", 1400);
   out.template_resend = or_else(object, "template_resend_s", 60.0);
--- a/src/routing/client_connection.cpp
+++ b/src/routing/client_connection.cpp
@@ -90,9 +90,9 @@
       moved_at_(Scheduler::now()) {
   if (!listener.flows_) return;
   location_ = listener.flows_->location_of(socket_.descriptor());
-  auto tap = listener.flows_->client(socket_.descriptor());
+  auto tap = listener.flows_->observe_client(socket_.descriptor());
   flow_observer_ = tap.get();
-  if (flow_observer_) flow_observer_->writing_for({});
+  if (flow_observer_) flow_observer_->set_write_label({});
   socket_.observe(std::move(tap));
 }
 
@@ -276,8 +276,8 @@
     label = {request_class_, location_, outcome, static_cast<std::uint8_t>(note)};
   else
     label.location = location_;
-  flow_observer_->read_for(label, std::exchange(request_bytes_, 0));
-  flow_observer_->writing_for(label);
+  flow_observer_->attribute_read(label, std::exchange(request_bytes_, 0));
+  flow_observer_->set_write_label(label);
   if (outcome != ipfix::Outcome::kNone) flow_observer_->request_ended(label);
 }
 
--- a/src/routing/upstream_node.cpp
+++ b/src/routing/upstream_node.cpp
@@ -344,8 +344,8 @@
   const std::size_t written = std::exchange(open.octets, 0);
   if (written + octets_read == 0) return;  // nothing of it moved, or it is booked already
   const ipfix::Label label{open.request_class, open.location, outcome, static_cast<std::uint8_t>(note)};
-  link.tap->wrote_for(label, written);
-  link.tap->read_for(label, octets_read);
+  link.tap->attribute_written(label, written);
+  link.tap->attribute_read(label, octets_read);
   link.tap->request_ended(label);
 }
 
@@ -466,7 +466,7 @@
   ++counters_.links_opened;
   link->socket = std::move(connected.socket);
   if (flows_) {
-    auto tap = flows_->node(link->socket.descriptor(), part_, node_.value);
+    auto tap = flows_->observe_node(link->socket.descriptor(), part_, node_.value);
     link->tap = tap.get();
     link->socket.observe(std::move(tap));
   }
--- a/tests/flow/exporter_disk_test.cpp
+++ b/tests/flow/exporter_disk_test.cpp
@@ -55,7 +55,7 @@
       : log(null_device.descriptor) {
     flow::ExportSettings settings;
     settings.enabled = true;
-    settings.flows_most = 1024;
+    settings.max_flows = 1024;
     settings.message_bytes = 512;
     settings.queue_bytes = queue_bytes;
     settings.spool = {true, folder.spool(), spool_bytes, age, 1e6};
@@ -79,7 +79,7 @@
     for (int i = 0; i < count; ++i) {
       auto socket = connected();
       const int descriptor = socket.descriptor();
-      const auto tap = exporter->client(descriptor);
+      const auto tap = exporter->observe_client(descriptor);
       REQUIRE(tap);
       tap->on_read(100);
       tap->on_closing(descriptor);
--- a/tests/program/operator_test.cpp
+++ b/tests/program/operator_test.cpp
@@ -28,7 +28,7 @@
   CHECK_FALSE(file.relay.enabled);
   CHECK(file.flow_export.networks->size() == 2);
   CHECK(file.log_form == LogFormat::kText);
-  CHECK(file.flow_export.flows_most == (192u << 20) / 16 / 256);
+  CHECK(file.flow_export.max_flows == (192u << 20) / 16 / 256);
   CHECK_THROWS_AS(program::load_operator("/nowhere/operator.json", 1 << 20), program::BadConfig);
 }
 
