--- a/tests/flow/export_test.cpp
+++ b/tests/flow/export_test.cpp
@@ -1,6 +1,6 @@
-// The whole way: clients, a director, nodes, and a collector on loopback. What arrives at the collector must
-// be what the clients and the nodes counted themselves, through slow readers, resets, collectors that go away
-// and a director that is killed.
+// End-to-end tests of flow export with clients, a director, nodes and a collector on loopback. The totals at
+// the collector must equal what the clients and nodes counted themselves, also with slow readers, connection
+// resets, collectors that fail and a director that is killed.
 #include <fmt/format.h>
 #include <signal.h>
 
@@ -26,7 +26,7 @@
   std::uint64_t out = 0, in = 0, packets_out = 0, packets_in = 0, requests = 0, flows = 0, records = 0;
 };
 
-// A director in front of two caches and the origin, with folders of its own.
+// A director in front of two caches and the origin, with its own temporary directory.
 class Scene {
  public:
   explicit Scene(rig::NodeWays ways = {}, const char* listen_at = "127.0.0.1:0") {
@@ -49,7 +49,7 @@
     files::remove_all(folder);
   }
 
-  void operators(const std::string& collectors, const std::string& more = "") {
+  void write_operator_file(const std::string& collectors, const std::string& more = "") {
     std::ofstream(folder + "/operator.json") << fmt::format(
         R"({{"flow_export":{{"enabled":true,"active_timeout_s":0.05,"idle_timeout_s":0.2,"template_resend_s":1,
         "collectors":[{}],"networks":[{{"prefix":"127.0.0.2/32","depot":"north"}},{{"prefix":"127.0.0.0/8","depot":"rest"}},{{"prefix":"::1/128","depot":"six"}}]{}}}}})",
@@ -82,7 +82,7 @@
     from_of.push_back(from), request_class_of.push_back(request_class);
     return *clients.back();
   }
-  void all_done() {
+  void wait_for_clients() {
     REQUIRE(run_until(scheduler, [&] {
       return std::all_of(clients.begin(), clients.end(), [](const auto& one) { return one->done(); });
     }));
@@ -95,23 +95,23 @@
     }));
     return director->counters();
   }
-  // Asks for the counters until they hold something; the count of asks only bounds a test that fails.
+  // Requests the counters until the condition holds; the number of requests only limits a failing test.
   void counters_until(const std::function<bool(std::map<std::string, std::uint64_t>&)>& holds) {
-    for (int tries = 0; tries < 300; ++tries) {
+    for (int attempts = 0; attempts < 300; ++attempts) {
       auto now = counters();
       if (holds(now)) return;
       scheduler.at(Scheduler::now() + 0.05, [this] { scheduler.stop(); });
       scheduler.run();
     }
-    FAIL("the counters never hold what they should: " << director->printed());
+    FAIL("the counters never met the condition: " << director->printed());
   }
   void stop() {
     director->send(SIGTERM);
     REQUIRE(run_until(scheduler, [&] { return director->ended(); }));
     CHECK_MESSAGE(director->status() == 0, director->printed());
   }
-  // Runs on until nothing more comes to the collector.
-  void settle() {
+  // Runs until the collector receives no more messages.
+  void wait_until_settled() {
     std::uint64_t seen = ~0ull;
     REQUIRE(run_until(scheduler, [&, since = Scheduler::now()]() mutable {
       if (collecting->decoded().messages != seen)
@@ -130,8 +130,8 @@
                                                            line.records};
     return all;
   }
-  // Of the archive as another process has committed it so far; there may be none yet.
-  std::uint64_t records_kept() const {
+  // Records that another process has committed to the archive so far; the archive may not exist yet.
+  std::uint64_t records_committed() const {
     try {
       std::uint64_t records = 0;
       for (const auto& [key, sum] : sums({By::kPart})) records += sum.records;
@@ -140,8 +140,8 @@
       return 0;
     }
   }
-  // What the clients counted, by depot and grade.
-  std::map<std::string, Sums> counted() const {
+  // The clients' own counts, by location and request class.
+  std::map<std::string, Sums> counted_by_clients() const {
     std::map<std::string, Sums> all;
     for (std::size_t i = 0; i < clients.size(); ++i) {
       Sums& sum = all[std::string(from_of[i] == "127.0.0.2" ? "north "
@@ -169,35 +169,38 @@
 };
 
 void check_octets(const Scene& scene) {
-  const auto told = scene.sums({By::kLocation, By::kRequestClass}, "client");
-  const auto counted = scene.counted();
+  const auto reported = scene.sums({By::kLocation, By::kRequestClass}, "client");
+  const auto counted = scene.counted_by_clients();
   for (const auto& [key, sum] : counted) {
-    REQUIRE_MESSAGE(told.contains(key), key);
-    CHECK_MESSAGE(told.at(key).out == sum.out, key);
-    CHECK_MESSAGE(told.at(key).in == sum.in, key);
-    CHECK_MESSAGE(told.at(key).requests == sum.requests, key);
+    REQUIRE_MESSAGE(reported.contains(key), key);
+    CHECK_MESSAGE(reported.at(key).out == sum.out, key);
+    CHECK_MESSAGE(reported.at(key).in == sum.in, key);
+    CHECK_MESSAGE(reported.at(key).requests == sum.requests, key);
   }
-  CHECK(told.size() == counted.size());
+  CHECK(reported.size() == counted.size());
 }
 
 }  // namespace
 
-TEST_CASE("octets by depot, grade and node are what clients and nodes counted, over IPFIX and NetFlow v9") {
+TEST_CASE(
+    "octets by location, class and node equal the clients' and nodes' counts, over IPFIX and NetFlow v9") {
   for (const char* way : {"tcp", "udp", "v9"}) {
     Scene scene;
     scene.collect();
-    const bool nine = way == std::string("v9");
-    scene.operators(scene.collector(nine ? "udp" : way, nine ? R"(,"protocol":"netflow9")" : ""));
+    const bool netflow9 = way == std::string("v9");
+    scene.write_operator_file(
+        scene.collector(netflow9 ? "udp" : way, netflow9 ? R"(,"protocol":"netflow9")" : ""));
     scene.start();
     for (const char* from : {"127.0.0.2", "127.0.0.3"}) {
       for (int i = 0; i < 3; ++i) scene.client(from, "segment").start(30, 0.01);
       scene.client(from, "note").start(20, 0.02);
-      // Clips one after another on one connection, read slowly: a flow of more than 20 intervals of export.
+      // Clips read slowly, one after another on one connection: a flow that spans more than 20 export
+      // intervals.
       scene.client(from, "clip", {16384, 0.006, 65536}).start(25, 0);
     }
-    scene.all_done();
+    scene.wait_for_clients();
     scene.stop();
-    scene.settle();
+    scene.wait_until_settled();
     check_octets(scene);
     const auto parts = scene.sums({By::kNode});
     const char* names[] = {"c1", "c2", "origin"};
@@ -206,33 +209,34 @@
       CHECK(parts.at(names[i]).out == scene.nodes[i]->octets().received);
       CHECK(parts.at(names[i]).in == scene.nodes[i]->octets().sent);
     }
-    // Segments: a handshake, an end and a last acknowledgement may fall on either side of the last look.
-    const auto told = scene.sums({By::kLocation, By::kRequestClass}, "client");
-    for (const auto& [key, sum] : scene.counted()) {
+    // Segments of a handshake, of a close and a last acknowledgement may fall on either side of the last
+    // reading of the kernel's counts.
+    const auto reported = scene.sums({By::kLocation, By::kRequestClass}, "client");
+    for (const auto& [key, sum] : scene.counted_by_clients()) {
       const auto margin = 4 * sum.flows;
-      CHECK_MESSAGE(told.at(key).packets_out + margin >= sum.packets_out, key);
-      CHECK_MESSAGE(told.at(key).packets_out <= sum.packets_out + margin, key);
-      CHECK_MESSAGE(told.at(key).packets_in + margin >= sum.packets_in, key);
-      CHECK_MESSAGE(told.at(key).packets_in <= sum.packets_in + margin, key);
+      CHECK_MESSAGE(reported.at(key).packets_out + margin >= sum.packets_out, key);
+      CHECK_MESSAGE(reported.at(key).packets_out <= sum.packets_out + margin, key);
+      CHECK_MESSAGE(reported.at(key).packets_in + margin >= sum.packets_in, key);
+      CHECK_MESSAGE(reported.at(key).packets_in <= sum.packets_in + margin, key);
     }
-    CHECK(told.at("north clip").records >= 20);
+    CHECK(reported.at("north clip").records >= 20);
     CHECK(scene.collecting->decoded().lost == 0);
     auto counters = scene.director->counters();
     CHECK(counters["flow_records_dropped"] == 0);
   }
 }
 
-TEST_CASE("resets of clients and nodes: the sums are still the director's own counts of its sockets") {
+TEST_CASE("resets by clients and nodes: the totals still equal the director's own counts of its sockets") {
   Scene scene({0.05, 0.1, 0.001});
   scene.collect();
-  scene.operators(scene.collector());
+  scene.write_operator_file(scene.collector());
   scene.start();
   for (int i = 0; i < 6; ++i) scene.client("127.0.0.2", "segment").start(25, 0.005, i % 2 == 0);
   for (int i = 0; i < 4; ++i) scene.client("127.0.0.3", "clip", {65536, 0.001, 0}).start(5, 0.01, true);
   scene.client("127.0.0.3", "note").start(10, 0.01);
-  scene.all_done();
+  scene.wait_for_clients();
   scene.stop();
-  scene.settle();
+  scene.wait_until_settled();
   auto counters = scene.director->counters();
   Sums clients, nodes;
   for (const auto& [part, sum] : scene.sums({By::kPart})) {
@@ -246,44 +250,44 @@
   CHECK(counters["failures"] == 0);
 }
 
-TEST_CASE("a collector that is silent for a third of the time misses nothing that the queue holds") {
+TEST_CASE("a collector paused for a third of the time misses nothing that the queue holds") {
   Scene scene;
   scene.collect();
-  scene.operators(scene.collector());
+  scene.write_operator_file(scene.collector());
   scene.start();
   for (int i = 0; i < 5; ++i) scene.client("127.0.0.2", "segment").start(60, 0.01);
   REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 15; }));
   scene.collecting->pause(true);
   REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 40; }));
   scene.collecting->pause(false);
-  scene.all_done();
+  scene.wait_for_clients();
   for (int i = 0; i < 3; ++i) scene.client("127.0.0.3", "segment").start(20, 0.01);
-  scene.all_done();
+  scene.wait_for_clients();
   scene.stop();
-  scene.settle();
+  scene.wait_until_settled();
   check_octets(scene);
   CHECK(scene.director->counters()["flow_records_dropped"] == 0);
 }
 
-TEST_CASE("a collecting process killed and started anew in the middle: each octet is counted, and once") {
+TEST_CASE("a collector process killed and restarted during the test: each octet is counted exactly once") {
   Scene scene;
-  scene.operators(scene.collector(), R"(,"resend_s":60)");
-  const std::vector<std::string> words = {
+  scene.write_operator_file(scene.collector(), R"(,"resend_s":60)");
+  const std::vector<std::string> arguments = {
       "collect", "--archive", scene.folder + "/archive", "--tcp", scene.collector_at.text(), "--udp", "off"};
-  auto collector = std::make_unique<rig::Process>(HARERAMP_FLOWS, words);
+  auto collector = std::make_unique<rig::Process>(HARERAMP_FLOWS, arguments);
   REQUIRE(run_until(scene.scheduler, [&] { return collector->has_printed("collecting"); }));
   scene.start();
   for (int i = 0; i < 5; ++i) scene.client("127.0.0.2", "segment").start(80, 0.01);
   for (const std::uint64_t asked : {20u, 45u}) {
     REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > asked; }));
-    // What it had committed comes again after its end and must not count twice: so there has to be some.
-    REQUIRE(run_until(scene.scheduler, [&] { return scene.records_kept() > 0; }));
+    // Records already committed are sent again after the kill and must not count twice, so some must exist.
+    REQUIRE(run_until(scene.scheduler, [&] { return scene.records_committed() > 0; }));
     collector->send(SIGKILL);
     REQUIRE(run_until(scene.scheduler, [&] { return collector->ended(); }));
-    collector = std::make_unique<rig::Process>(HARERAMP_FLOWS, words);
+    collector = std::make_unique<rig::Process>(HARERAMP_FLOWS, arguments);
     REQUIRE(run_until(scene.scheduler, [&] { return collector->has_printed("collecting"); }));
   }
-  scene.all_done();
+  scene.wait_for_clients();
   scene.stop();
   collector->send(SIGTERM);
   REQUIRE(run_until(scene.scheduler, [&] { return collector->ended(); }));
@@ -293,70 +297,72 @@
   CHECK(scene.director->counters()["flow_records_dropped"] == 0);
 }
 
-TEST_CASE("killed with its collector away: the spool brings all that was on the disk, each record once") {
+TEST_CASE(
+    "director killed while its collector is down: the spool delivers all that was on disk, each record "
+    "once") {
   Scene scene;
-  scene.operators(scene.collector(), scene.spool());
+  scene.write_operator_file(scene.collector(), scene.spool());
   scene.start();
   for (int i = 0; i < 4; ++i) scene.client("127.0.0.2", "segment").start(30, 0.01);
   scene.client("127.0.0.3", "note").start(20, 0.01);
-  scene.all_done();
-  // Until every flow, those to nodes too, has ended for want of octets and its record is on the disk.
+  scene.wait_for_clients();
+  // Waits until every flow, including those to nodes, has reached its idle timeout and its record is on disk.
   scene.counters_until(
       [](auto& now) { return now["flows"] == 0 && now["spool_written"] == now["flow_messages"]; });
   scene.director->send(SIGKILL);
   REQUIRE(run_until(scene.scheduler, [&] { return scene.director->ended(); }));
   scene.start();
   for (int i = 0; i < 2; ++i) scene.client("127.0.0.3", "segment").start(10, 0.01);
-  scene.all_done();
+  scene.wait_for_clients();
   scene.collect();
   REQUIRE(run_until(scene.scheduler, [&] { return scene.collecting->decoded().records > 50; }));
   scene.stop();
-  scene.settle();
+  scene.wait_until_settled();
   check_octets(scene);
   CHECK(scene.collecting->decoded().lost == 0);
-  // And once more, from the start of the spool's cursor: what came before counts no second time.
+  // One more run, which starts at the spool's cursor: earlier records must not count again.
   const auto before = scene.sums({By::kLocation, By::kRequestClass});
   scene.start();
   scene.stop();
-  scene.settle();
+  scene.wait_until_settled();
   const auto after = scene.sums({By::kLocation, By::kRequestClass}, "client");
-  for (const auto& [key, sum] : scene.counted()) CHECK(after.at(key).out == sum.out);
+  for (const auto& [key, sum] : scene.counted_by_clients()) CHECK(after.at(key).out == sum.out);
 }
 
-TEST_CASE("over IPv6, and with the first of two collectors away: the second gets everything, once") {
+TEST_CASE("over IPv6, with the first of two collectors unreachable: the second gets everything once") {
   Scene scene({}, "[::1]:0");
   scene.collect();
-  scene.operators(fmt::format(R"({{"address":"{}","transport":"tcp","mode":"failover"}},{})",
-                              unused_address(scene.scheduler).text(),
-                              scene.collector("tcp", R"(,"mode":"failover")")));
+  scene.write_operator_file(fmt::format(R"({{"address":"{}","transport":"tcp","mode":"failover"}},{})",
+                                        unused_address(scene.scheduler).text(),
+                                        scene.collector("tcp", R"(,"mode":"failover")")));
   scene.start();
   for (int i = 0; i < 3; ++i) scene.client("[::1]", "segment").start(20, 0.01);
   scene.client("[::1]", "note").start(10, 0.01);
-  scene.all_done();
+  scene.wait_for_clients();
   scene.stop();
-  scene.settle();
+  scene.wait_until_settled();
   check_octets(scene);
   CHECK(scene.director->counters()["collectors_failed"] > 0);
   CHECK(scene.collecting->decoded().lost == 0);
 }
 
-TEST_CASE("a disk that is full costs the spool, not the export and not a request") {
+TEST_CASE("a full disk disables the spool, but loses no record and fails no request") {
   Scene scene;
   scene.collect();
-  scene.operators(scene.collector(), scene.spool());
-  // No file may grow past 96 KB: some messages go to the disk, the rest can't.
+  scene.write_operator_file(scene.collector(), scene.spool());
+  // No file may grow beyond 96 KB, so some messages are written to disk and the rest can't be.
   scene.director = std::make_unique<rig::Process>(
       "/bin/sh",
       std::vector<std::string>{"-c", "ulimit -f 192; exec \"$@\"", "sh", HARERAMP_BINARY, "serve", "--config",
                                scene.folder + "/config.json", "--operator", scene.folder + "/operator.json"});
   REQUIRE(run_until(scene.scheduler, [&] { return scene.director->has_printed("serving"); }));
-  scene.collecting->pause(true);  // what is on the disk has to stay there
+  scene.collecting->pause(true);  // keeps the messages on disk from being sent and removed
   for (int i = 0; i < 8; ++i) scene.client(i % 2 ? "127.0.0.2" : "127.0.0.3", "segment").start(100, 0.01);
-  scene.all_done();
+  scene.wait_for_clients();
   scene.counters_until([](auto& now) { return now["spool_failed"] > 0; });
   scene.collecting->pause(false);
   scene.stop();
-  scene.settle();
+  scene.wait_until_settled();
   check_octets(scene);
   auto counters = scene.director->counters();
   CHECK(counters["spool_written"] > 0);
@@ -365,21 +371,21 @@
   CHECK(scene.director->has_printed("can't write to the spool"));
 }
 
-TEST_CASE("a collector that never reads costs records, told truthfully, and never a request") {
+TEST_CASE("a collector that never reads loses records, which are counted correctly, and fails no request") {
   Scene scene;
-  StandInServer deaf(scene.scheduler, false);
+  StandInServer non_reading(scene.scheduler, false);
   scene.collect();
-  scene.operators(
-      fmt::format(R"({{"address":"{}","transport":"tcp"}},{})", deaf.address.text(), scene.collector("tcp")),
-      R"(,"queue_kb":16)");
+  scene.write_operator_file(fmt::format(R"({{"address":"{}","transport":"tcp"}},{})",
+                                        non_reading.address.text(), scene.collector("tcp")),
+                            R"(,"queue_kb":16)");
   scene.start();
-  // Enough records to fill the sockets' buffers in between and the queue.
+  // Enough records to fill the socket buffers and the queue.
   scene.client("127.0.0.2", "segment").start(20, 0);
-  scene.all_done();
+  scene.wait_for_clients();
   while (scene.counters()["flow_records_dropped"] == 0 && scene.clients.size() < 10000) {
     for (int i = 0; i < 40; ++i) {
       for (int k = 0; k < 10; ++k) scene.client("127.0.0.3", "segment").start(1, 0);
-      scene.all_done();
+      scene.wait_for_clients();
     }
   }
   std::uint64_t asked = 0, completed = 0;
@@ -389,29 +395,29 @@
   CHECK(counters["flow_records_dropped"] > 0);
   CHECK(counters["open"] == 0);
   scene.stop();
-  scene.settle();
-  check_octets(scene);  // the other collector has everything
+  scene.wait_until_settled();
+  check_octets(scene);  // the other collector has received everything
   std::uint64_t not_sent = 0;
   for (const auto& [who, row] : scene.collecting->not_sent()) not_sent += row.flows;
   CHECK(not_sent > 0);
   CHECK(not_sent <= scene.director->counters()["flow_records_dropped"]);
 }
 
-TEST_CASE("SIGHUP: other networks and collectors, and no count is lost") {
+TEST_CASE("SIGHUP: changed networks and collectors, and no count is lost") {
   Scene scene;
   scene.collect();
-  scene.operators(scene.collector("udp"));
+  scene.write_operator_file(scene.collector("udp"));
   scene.start();
   for (int i = 0; i < 4; ++i) scene.client("127.0.0.2", "segment").start(40, 0.005);
   REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 10; }));
-  scene.operators(scene.collector("tcp"));
+  scene.write_operator_file(scene.collector("tcp"));
   scene.director->send(SIGHUP);
   scene.counters_until([](auto& now) { return now["reloads"] == 1; });
   std::ofstream(scene.folder + "/operator.json") << R"({"flow_export":{"enabled":true,"colectors":[]}})";
   scene.director->send(SIGHUP);
   scene.counters_until([](auto& now) { return now["reloads_failed"] == 1; });
-  scene.all_done();
+  scene.wait_for_clients();
   scene.stop();
-  scene.settle();
+  scene.wait_until_settled();
   check_octets(scene);
 }
--- a/tests/flow/exporter_disk_test.cpp
+++ b/tests/flow/exporter_disk_test.cpp
@@ -1,5 +1,5 @@
-// Flow export with a spool whose disk fails, fills, or was written by a run with another clock: in this
-// process, with a director's exporter, real connections to count and a real collector on loopback.
+// Tests flow export with a spool whose disk fails, is full, or was written by a run with another clock. The
+// exporter and the collector run in this process, on real loopback connections.
 #include <fcntl.h>
 
 #include <cerrno>
@@ -47,8 +47,8 @@
   return made;
 }
 
-// One run of a director's flow export. Its end without finish() is that of a killed process: what was in
-// memory is gone.
+// One run of a director's flow export. Destroying it without finish() acts like killing the process: messages
+// in memory are lost.
 struct Run {
   Run(const Folder& folder, const transport::Address& collector, double age = 86400,
       std::size_t spool_bytes = 4 << 20, std::size_t queue_bytes = 1 << 20)
@@ -74,37 +74,38 @@
     scheduler.clear();
     exporter.reset();
   }
-  // So many connections that each move some bytes and end.
+  // Opens count connections, each of which moves some bytes and ends.
   void make_flows(int count) {
     for (int i = 0; i < count; ++i) {
       auto socket = connected();
       const int descriptor = socket.descriptor();
-      const auto tap = exporter->observe_client(descriptor);
-      REQUIRE(tap);
-      tap->on_read(100);
-      tap->on_closing(descriptor);
+      const auto observer = exporter->observe_client(descriptor);
+      REQUIRE(observer);
+      observer->on_read(100);
+      observer->on_closing(descriptor);
     }
   }
   transport::Socket connected() {
     transport::Socket socket;
     bool up = false;
-    const auto go = [](Run& self, transport::Socket& made, bool& done) -> transport::Task<> {
+    const auto connect_and_store = [](Run& self, transport::Socket& made, bool& done) -> transport::Task<> {
       auto result = co_await transport::connect(self.scheduler, self.server->address, Scheduler::now() + 5);
       made = std::move(result.socket);
       done = true;
     };
-    scheduler.spawn(go(*this, socket, up));
+    scheduler.spawn(connect_and_store(*this, socket, up));
     REQUIRE(run_until(scheduler, [&] { return up; }));
     return socket;
   }
-  bool until(const std::function<bool()>& holds) { return run_until(scheduler, holds); }
+  bool run_until_true(const std::function<bool()>& condition) { return run_until(scheduler, condition); }
   bool all_on_disk() const {
     return counters.flow_messages > 0 && counters.spool_written >= counters.flow_messages;
   }
-  // Records become messages at a tick: one whose timer was set before ours has run before it.
+  // Records are encoded into messages at a tick. This waits for two tick intervals: a tick whose timer was
+  // set before has then run.
   bool until_all_on_disk() {
     const Seconds ticked = Scheduler::now() + 2 * bounds.flow_tick_interval;
-    return until([&] { return Scheduler::now() > ticked && all_on_disk(); });
+    return run_until_true([&] { return Scheduler::now() > ticked && all_on_disk(); });
   }
 
   struct NullDevice {
@@ -120,18 +121,18 @@
   std::unique_ptr<StandInServer> server;
 };
 
-transport::Address somewhere() {
+transport::Address unused_loopback_address() {
   Scheduler scheduler;
   return unused_address(scheduler);
 }
 
-// What a collector gets from a run until the run has no more to send; each record is counted once.
+// The flows that a collector receives from a run until it has the expected number; each is counted once.
 std::uint64_t flows_collected(Run& run, const Folder& folder, const transport::Address& at,
                               std::uint64_t expected) {
   flows_tool::Archive archive(folder.path + "/archive", {});
   flows_tool::Collector collector(run.scheduler, archive, 32473, 16);
   collector.listen_tcp(at);
-  run.until([&] {
+  run.run_until_true([&] {
     archive.commit(transport::Clock::unix_now());
     return archive.counts().flows >= expected;
   });
@@ -141,9 +142,9 @@
 
 }  // namespace
 
-TEST_CASE("a disk that is full for a while: what it refused goes to it afterwards, and outlives a kill") {
+TEST_CASE("disk full for a while: refused messages are written afterwards, and survive a kill") {
   Folder folder;
-  const auto collector_at = somewhere();
+  const auto collector_at = unused_loopback_address();
   {
     Run run(folder, collector_at);
     run.make_flows(10);
@@ -152,7 +153,7 @@
       const Injection full(
           {folder.spool(), 1, disk_faults::kNeverReached, disk_faults::Effect::kFails, ENOSPC, 0});
       run.make_flows(30);
-      REQUIRE(run.until([&] { return run.counters.spool_failed > 2 && full.failures() > 2; }));
+      REQUIRE(run.run_until_true([&] { return run.counters.spool_failed > 2 && full.failures() > 2; }));
     }
     REQUIRE(run.until_all_on_disk());
     CHECK(run.counters.flow_records_dropped == 0);
@@ -162,38 +163,38 @@
   CHECK(next.counters.flow_records_dropped == 0);
 }
 
-TEST_CASE("a disk that fails is tried again after pauses that double, not at every look") {
+TEST_CASE("a failing disk is retried after delays that double, not at every tick") {
   Folder folder;
-  Run run(folder, somewhere());
+  Run run(folder, unused_loopback_address());
   const Injection full({folder.spool(), 1, disk_faults::kNeverReached, disk_faults::Effect::kFails, EIO, 0});
   const Seconds start = Scheduler::now();
   run.make_flows(3);
-  // Each try ends with a failed append and a failed cursor: 7 failures take four tries, with pauses of 0.2,
-  // 0.4 and 0.8 s between them. The exporter looks each 5 ms.
-  REQUIRE(run.until([&] { return full.failures() >= 7; }));
+  // Each attempt ends with a failed append and a failed cursor write: 7 failures take four attempts, with
+  // delays of 0.2, 0.4 and 0.8 s between them. The exporter's tick is 5 ms.
+  REQUIRE(run.run_until_true([&] { return full.failures() >= 7; }));
   CHECK(Scheduler::now() - start > 1.3);
 }
 
-TEST_CASE("ended while its disk fails and its collector is away: what is lost is counted") {
+TEST_CASE("exit while the disk fails and the collector is unreachable: lost records are counted") {
   Folder folder;
-  Run run(folder, somewhere());
+  Run run(folder, unused_loopback_address());
   const Injection full(
       {folder.spool(), 1, disk_faults::kNeverReached, disk_faults::Effect::kFails, ENOSPC, 0});
   run.make_flows(12);
-  REQUIRE(run.until([&] { return run.counters.spool_failed > 0; }));
+  REQUIRE(run.run_until_true([&] { return run.counters.spool_failed > 0; }));
   bool ended = false;
   const auto finish = [](Run& self, bool& done) -> transport::Task<> {
     co_await self.exporter->finish(Scheduler::now() + 0.05);
     done = true;
   };
   run.scheduler.spawn(finish(run, ended));
-  REQUIRE(run.until([&] { return ended; }));
+  REQUIRE(run.run_until_true([&] { return ended; }));
   CHECK(run.counters.flow_records_dropped == 12);
 }
 
 TEST_CASE("a spool smaller than the queue in memory: each message is sent, or counted as not sent") {
   Folder folder;
-  const auto collector_at = somewhere();
+  const auto collector_at = unused_loopback_address();
   Run run(folder, collector_at, 86400, 1 << 20, 1200 << 10);
   for (int i = 0; i < 30000; ++i) {
     run.exporter->request_class("a name that is as long as names of service grades may be: " +
@@ -207,7 +208,7 @@
   const auto accounted = [&] { return run.counters.flow_messages_sent + run.counters.flow_messages_dropped; };
   std::uint64_t seen = 0;
   Seconds since = Scheduler::now();
-  REQUIRE(run.until([&] {
+  REQUIRE(run.run_until_true([&] {
     if (run.counters.flow_messages_sent != seen) since = Scheduler::now();
     seen = run.counters.flow_messages_sent;
     return seen > 0 && (accounted() == run.counters.flow_messages || Scheduler::now() > since + 1);
@@ -216,17 +217,17 @@
   run.scheduler.clear();
 }
 
-TEST_CASE("the system's clock stepped by an hour between two runs: nothing in the spool is taken for old") {
+TEST_CASE("system clock stepped by an hour between two runs: no spool entry is taken for too old") {
   for (const double step : {-3600.0, 3600.0}) {
     CAPTURE(step);
     Folder folder;
-    const auto collector_at = somewhere();
+    const auto collector_at = unused_loopback_address();
     {
       Run run(folder, collector_at);
       run.make_flows(20);
       REQUIRE(run.until_all_on_disk());
     }
-    {  // as if the clock of that run had been ahead, or behind, by the step
+    {  // as if that run's clock had been ahead or behind by the step
       std::string error;
       std::string damaged;
       storage::DroppedEntries dropped;
@@ -238,31 +239,30 @@
       REQUIRE(spool->append(entries, dropped, error));
     }
     Run next(folder, collector_at, 600);
-    // Two batches on the disk, one after another: between them the spool was looked at for what is too old.
+    // Two batches are written one after another; between them the spool was trimmed by age.
     next.exporter->request_class("first");
-    REQUIRE(next.until([&] { return next.counters.spool_written > 0 && next.all_on_disk(); }));
+    REQUIRE(next.run_until_true([&] { return next.counters.spool_written > 0 && next.all_on_disk(); }));
     const std::uint64_t before = next.counters.spool_written;
     next.exporter->request_class("second");
-    REQUIRE(next.until([&] { return next.counters.spool_written > before; }));
+    REQUIRE(next.run_until_true([&] { return next.counters.spool_written > before; }));
     next.exporter->request_class("third");
-    REQUIRE(next.until([&] { return next.counters.spool_written > before + 1; }));
+    REQUIRE(next.run_until_true([&] { return next.counters.spool_written > before + 1; }));
     CHECK(flows_collected(next, folder, collector_at, 20) == 20);
     CHECK(next.counters.flow_records_dropped == 0);
   }
 }
 
-TEST_CASE(
-    "a spool that can't be read for a while: what is on it is not taken for gone, and sent afterwards") {
+TEST_CASE("spool unreadable for a while: its entries are not taken for lost, and are sent afterwards") {
   Folder folder;
-  const auto collector_at = somewhere();
+  const auto collector_at = unused_loopback_address();
   {
     Run run(folder, collector_at);
     run.make_flows(20);
     REQUIRE(run.until_all_on_disk());
   }
   Run next(folder, collector_at);
-  // The exporter's first messages are on the disk; the next commit fails at its last write, and all that
-  // follows, too: LMDB's environment is unusable, and can't be opened anew.
+  // The exporter's first messages are on disk. The next commit fails at its last write, and so does every
+  // later access: LMDB's environment is unusable and can't be reopened.
   REQUIRE(next.until_all_on_disk());
   flows_tool::Archive archive(folder.path + "/archive", {});
   flows_tool::Collector collector(next.scheduler, archive, 32473, 16);
@@ -274,13 +274,13 @@
     script.fails_until = disk_faults::kNeverReached;
     const Injection failing(script);
     next.exporter->request_class("a new name");
-    REQUIRE(next.until([&] { return failing.failures() > 0; }));
+    REQUIRE(next.run_until_true([&] { return failing.failures() > 0; }));
     collector.listen_tcp(collector_at);
-    REQUIRE(next.until([&] { return next.counters.collectors_up > 0; }));
+    REQUIRE(next.run_until_true([&] { return next.counters.collectors_up > 0; }));
     const int before = failing.failures();
-    REQUIRE(next.until([&] { return failing.failures() > before + 3; }));
+    REQUIRE(next.run_until_true([&] { return failing.failures() > before + 3; }));
   }
-  CHECK(next.until([&] {
+  CHECK(next.run_until_true([&] {
     archive.commit(transport::Clock::unix_now());
     return archive.counts().flows >= 20;
   }));
@@ -289,9 +289,9 @@
   next.scheduler.clear();
 }
 
-TEST_CASE("a collector whose disk is full: a TCP exporter waits, and each flow is stored once") {
+TEST_CASE("collector with a full disk: a TCP exporter waits, and each flow is stored once") {
   Folder folder;
-  const auto collector_at = somewhere();
+  const auto collector_at = unused_loopback_address();
   Run run(folder, collector_at);
   flows_tool::ArchiveBounds bounds;
   bounds.waiting_rows = 16;
@@ -303,15 +303,16 @@
     const Injection full(
         {folder.path + "/archive", 1, disk_faults::kNeverReached, disk_faults::Effect::kFails, ENOSPC, 0});
     run.make_flows(100);
-    REQUIRE(run.until([&] { return archive.full(); }));
+    REQUIRE(run.run_until_true([&] { return archive.full(); }));
     run.make_flows(100);
-    // All has left the exporter: it waits in the connection, not in the archive.
-    REQUIRE(run.until([&] { return run.counters.flow_messages_sent == run.counters.flow_messages; }));
+    // The exporter has sent everything; the data waits in the connection, not in the archive.
+    REQUIRE(
+        run.run_until_true([&] { return run.counters.flow_messages_sent == run.counters.flow_messages; }));
     commit();
     CHECK(archive.waiting() <= bounds.waiting_rows);
     CHECK(archive.counts().commits_failed > 0);
   }
-  CHECK(run.until([&] {
+  CHECK(run.run_until_true([&] {
     commit();
     return archive.counts().flows >= 200;
   }));
