--- a/src/lab/experiment_schema.hpp
+++ b/src/lab/experiment_schema.hpp
@@ -1,4 +1,4 @@
-// experiments/experiment.schema.json, as it was when this was built.
+// The text of experiments/experiment.schema.json, embedded at build time.
 #pragma once
 
 namespace hareramp::lab {
--- a/src/lab/hunt.hpp
+++ b/src/lab/hunt.hpp
@@ -1,6 +1,6 @@
-// Looks for the worst day: plays schedules of faults drawn by chance under a budget of days, keeps the worst,
-// and takes faults out of it as long as it stays bad. Pure but for the days it plays; the same seed finds the
-// same.
+// Searches for the worst fault schedule: simulates random schedules within a budget of runs, keeps the one
+// with the highest severity, and shrinks it by removing faults as long as the severity stays high. No side
+// effects other than those of the severity function; the same seed finds the same schedule.
 #pragma once
 
 #include <functional>
@@ -10,26 +10,30 @@
 
 namespace hareramp::lab {
 
-struct HuntSettings {
-  std::size_t days = 200;  // the budget, shrinking included
-  std::size_t faults = 6;  // in a schedule, at most
+struct ScheduleSearchSettings {
+  std::size_t runs = 200;  // budget of simulation runs, shrinking included
+  std::size_t faults = 6;  // most faults in one schedule
   std::uint64_t seed = 1;
   unsigned threads = 1;
-  double slack = 0.1;  // of what the worst day lost: so much may come back while faults are taken out
+  // How much severity shrinking may give up, as a share of the difference between the worst schedule and no
+  // faults.
+  double shrink_tolerance = 0.1;
 };
 
-// How bad a day was: broken rules above all, then utility lost. Higher is worse.
-using Badness = std::function<double(const Plan& plan)>;
+// Simulates a plan and returns its severity: broken rules count most, then lost utility. Higher is worse.
+using SeverityFunction = std::function<double(const Plan& plan)>;
 
-struct Hunted {
-  std::vector<FaultPlan> faults;  // the shrunk schedule
-  double badness = 0, calm = 0;   // with it, and without any fault
-  std::size_t days = 0, faults_at_first = 0;
+// The result of a search.
+struct WorstSchedule {
+  std::vector<FaultPlan> faults;                     // the schedule after shrinking
+  double severity = 0, severity_without_faults = 0;  // with these faults, and with none
+  std::size_t runs = 0, faults_before_shrinking = 0;
 };
 
-// A schedule by chance, within the plan's times and nodes.
+// Draws a random fault schedule within the plan's duration and nodes.
 std::vector<FaultPlan> draw_schedule(const Plan& plan, std::size_t faults, std::uint64_t seed);
 
-Hunted hunt(const Plan& plan, const HuntSettings& settings, const Badness& badness);
+WorstSchedule find_worst_schedule(const Plan& plan, const ScheduleSearchSettings& settings,
+                                  const SeverityFunction& severity);
 
 }  // namespace hareramp::lab
--- a/src/lab/world/judge.hpp
+++ b/src/lab/world/director_policy.hpp
@@ -1,5 +1,5 @@
-// Whoever decides in the emulated world: the real Director, or a baseline behind the same calls. Baselines
-// are for comparison in the laboratory only.
+// The interface of the policies that direct requests in the simulated world: the production Director, or a
+// baseline behind the same calls. Baselines are for comparison in the laboratory only.
 #pragma once
 
 #include <memory>
@@ -9,9 +9,10 @@
 
 namespace hareramp::lab {
 
-class Judge {
+// The events of one director; see Director for the meaning of each call.
+class DirectorPolicy {
  public:
-  virtual ~Judge() = default;
+  virtual ~DirectorPolicy() = default;
   virtual void list_starts(Seconds now, ListCompleteness scope) = 0;
   virtual void list_entry(Seconds now, const NodeId& node, ZoneIndex zone, KindIndex kind, CellIndex cell,
                           EndpointState endpoint_state, double weight, Seconds launched) = 0;
@@ -21,15 +22,16 @@
                                double size_kb, bool resent, bool is_write) = 0;
   virtual void client_disconnected(Seconds now, const RequestId& request) = 0;
   virtual void attempt_ended(Seconds now, const RequestId& request, AttemptNumber number, const NodeId& node,
-                             Result result, AnswerDetail note, Seconds waited, Seconds spent,
+                             Result result, AnswerDetail detail, Seconds waited, Seconds spent,
                              bool request_over) = 0;
   virtual void object_purged(Seconds now, ObjectId object, Seconds age) = 0;
   virtual void group_purged(Seconds now, GroupId group, Seconds age) = 0;
   virtual void timer_fired(Seconds now, const TimerToken& token) = 0;
 };
 
-// kind: design, random, hash, least, two, textbook. Null for another word.
-std::unique_ptr<Judge> make_judge(const std::string& kind, Seconds now, const Settings& settings,
-                                  std::uint64_t seed, Actions& actions);
+// kind: design, random, hash, least, two or textbook. Returns null for any other name.
+std::unique_ptr<DirectorPolicy> make_director_policy(const std::string& kind, Seconds now,
+                                                     const Settings& settings, std::uint64_t seed,
+                                                     Actions& actions);
 
 }  // namespace hareramp::lab
