--- a/src/lab/world/plan.hpp
+++ b/src/lab/world/plan.hpp
@@ -29,7 +29,7 @@
 
 struct NodePlan {
   double slots = 8;                  // transfers at full rate that its link can carry
-  double memory_units = 2000;        // objects (of one request class each) that its memory holds
+  double memory_units = 2000;        // copies that its memory holds, one for each object and request class
   double max_attempts_per_slot = 4;  // times slots: concurrent attempts before it rejects more
 };
 
