--- a/src/lab/world/director_policy.cpp
+++ b/src/lab/world/director_policy.cpp
@@ -131,8 +131,8 @@
   static std::uint64_t rendezvous_hash(const NodeId& node, std::uint64_t key) {
     return XXH3_64bits_withSeed(node.value.data(), node.value.size(), key);
   }
-  // The usable node of a kind with the highest rendezvous hash, caches of the own zone only; empty if there
-  // is none.
+  // The usable node of a kind with the highest rendezvous hash, of caches only those of this director's zone;
+  // empty if there is none.
   NodeId highest_hash(int kind, std::uint64_t key, const std::vector<NodeId>& excluded) const {
     NodeId best;
     std::uint64_t best_hash = 0;
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -450,7 +450,8 @@
     if (std::uniform_real_distribution<double>(0, 1)(rng_) < plan_.load.one_time_share) {
       request.object = seeded_hash(next_request_, 77);
     } else {
-      // The object of each popularity rank is replaced periodically, with a phase of its own for each rank.
+      // The object of each popularity rank is replaced periodically, with a phase of its own for each rank so
+      // that not all are replaced at once.
       const double phase = static_cast<double>(seeded_hash(rank, seed_) % 1000) / 1000;
       request.object =
           seeded_hash(rank, 1 + static_cast<std::uint64_t>(now_ / plan_.load.object_lifetime + phase));
