--- a/experiments/capacity/load.cpp
+++ b/experiments/capacity/load.cpp
@@ -18,7 +18,7 @@
 LiveNodes::LiveNodes(Scheduler& scheduler, std::size_t body_bytes) {
   for (int number = 0; number < kLiveNodes; ++number) {
     const std::map<std::string, std::size_t> sizes = {{"segment", body_bytes}, {"note", kNoteBytes}};
-    nodes.push_back(std::make_unique<rig::Node>(scheduler, sizes, rig::NodeWays{}, number + 1));
+    nodes.push_back(std::make_unique<rig::Node>(scheduler, sizes, rig::NodeBehavior{}, number + 1));
     entries += fmt::format(
         R"({}{{"id":"live-{}","addr":"{}","zone":"edge","kind":"{}","cell":0,"state":"active","weight":200,"started_ms":0}})",
         number > 0 ? "," : "", number, nodes.back()->address().text(), number == 0 ? "origin" : "cache");
@@ -30,7 +30,7 @@
   const auto from = *transport::Address::parse("127.0.0.1:0");
   for (int number = 0; number < clients; ++number)
     clients_.push_back(std::make_unique<rig::Client>(scheduler, director, from, "segment", false,
-                                                     rig::Reading{}, static_cast<std::uint64_t>(number)));
+                                                     rig::ReadPattern{}, static_cast<std::uint64_t>(number)));
 }
 
 std::vector<double> SteadyLoad::play(double seconds, const std::function<bool()>& over) {
--- a/experiments/flow_export.cpp
+++ b/experiments/flow_export.cpp
@@ -83,10 +83,10 @@
   std::string folder = files::temp_directory_path() / "hareramp-experiment-XXXXXX";
   if (!mkdtemp(folder.data())) throw std::runtime_error("no temporary folder");
   const std::map<std::string, std::size_t> sizes = {{"clip", 60000}, {"segment", 3000}, {"note", 50}};
-  rig::QuietChangeLog changes(scheduler);
+  rig::IdleChangeStream changes(scheduler);
   std::vector<std::unique_ptr<rig::Node>> nodes;
   for (std::uint64_t i = 0; i < 3; ++i)
-    nodes.push_back(std::make_unique<rig::Node>(scheduler, sizes, rig::NodeWays{}, i));
+    nodes.push_back(std::make_unique<rig::Node>(scheduler, sizes, rig::NodeBehavior{}, i));
   const transport::Address listen = free_address(scheduler);
   rig::Site site;
   site.listen = listen.text(), site.change_log = changes.address().text();
@@ -125,7 +125,7 @@
       const char* request_class = i % 8 == 0 ? "clip" : i % 8 == 1 ? "note" : "segment";
       clients.push_back(std::make_unique<rig::Client>(scheduler, listen,
                                                       *transport::Address::parse("127.0.0.2:0"),
-                                                      request_class, i % 8 == 1, rig::Reading{}, i));
+                                                      request_class, i % 8 == 1, rig::ReadPattern{}, i));
     }
     std::uint64_t turned_off = 0;
     scheduler.spawn(offer(scheduler, clients, rate, Scheduler::now() + seconds, seed, turned_off));
--- a/experiments/rig/world.cpp
+++ b/experiments/rig/world.cpp
@@ -22,7 +22,8 @@
 transport::Address any() { return *transport::Address::parse("127.0.0.1:0"); }
 }  // namespace
 
-Node::Node(Scheduler& scheduler, std::map<std::string, std::size_t> sizes, NodeWays ways, std::uint64_t seed)
+Node::Node(Scheduler& scheduler, std::map<std::string, std::size_t> sizes, NodeBehavior ways,
+           std::uint64_t seed)
     : scheduler_(scheduler),
       sizes_(std::move(sizes)),
       ways_(ways),
@@ -74,12 +75,12 @@
   }
 }
 
-QuietChangeLog::QuietChangeLog(Scheduler& scheduler)
+IdleChangeStream::IdleChangeStream(Scheduler& scheduler)
     : scheduler_(scheduler), listener_(scheduler, any(), 16), address_(listener_.address()) {
   scheduler.spawn(take(*this));
 }
 
-Task<> QuietChangeLog::take(QuietChangeLog& self) {
+Task<> IdleChangeStream::take(IdleChangeStream& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
     if (accepted.end == transport::Listener::End::kClosed) co_return;
@@ -88,7 +89,7 @@
   }
 }
 
-Task<> QuietChangeLog::talk(QuietChangeLog& self, Socket socket) {
+Task<> IdleChangeStream::talk(IdleChangeStream& self, Socket socket) {
   std::string text = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
   while ((co_await socket.write(text, kNever)).ok()) {
     co_await self.scheduler_.sleep_until(Scheduler::now() + 1);
@@ -101,7 +102,7 @@
 }
 
 Client::Client(Scheduler& scheduler, transport::Address director, transport::Address from,
-               std::string request_class, bool write, Reading reading, std::uint64_t number)
+               std::string request_class, bool write, ReadPattern reading, std::uint64_t number)
     : scheduler_(scheduler),
       director_(director),
       from_(from),
--- a/experiments/rig/world.hpp
+++ b/experiments/rig/world.hpp
@@ -21,7 +21,7 @@
   bool operator==(const Octets&) const = default;
 };
 
-struct NodeWays {
+struct NodeBehavior {
   double resets = 0;      // share of answers that a reset takes the place of
   double turns_away = 0;  // share of AGAIN
   double delay = 0.001;   // s to an answer
@@ -30,12 +30,12 @@
 // A node: answers every request with bytes, as many as its grade has.
 class Node {
  public:
-  Node(transport::Scheduler& scheduler, std::map<std::string, std::size_t> sizes, NodeWays ways,
+  Node(transport::Scheduler& scheduler, std::map<std::string, std::size_t> sizes, NodeBehavior ways,
        std::uint64_t seed);
   transport::Address address() const { return address_; }
   const Octets& octets() const { return octets_; }
   std::uint64_t requests() const { return requests_; }
-  void set_ways(NodeWays ways) { ways_ = ways; }
+  void set_ways(NodeBehavior ways) { ways_ = ways; }
 
  private:
   static transport::Task<> take(Node& self);
@@ -45,7 +45,7 @@
 
   transport::Scheduler& scheduler_;
   std::map<std::string, std::size_t> sizes_;
-  NodeWays ways_;
+  NodeBehavior ways_;
   std::mt19937_64 chance_;
   transport::Listener listener_;
   transport::Address address_;
@@ -54,20 +54,20 @@
 };
 
 // The change log that never has anything new.
-class QuietChangeLog {
+class IdleChangeStream {
  public:
-  explicit QuietChangeLog(transport::Scheduler& scheduler);
+  explicit IdleChangeStream(transport::Scheduler& scheduler);
   transport::Address address() const { return address_; }
 
  private:
-  static transport::Task<> take(QuietChangeLog& self);
-  static transport::Task<> talk(QuietChangeLog& self, transport::Socket socket);
+  static transport::Task<> take(IdleChangeStream& self);
+  static transport::Task<> talk(IdleChangeStream& self, transport::Socket socket);
   transport::Scheduler& scheduler_;
   transport::Listener listener_;
   transport::Address address_;
 };
 
-struct Tally {
+struct ClientCounts {
   std::uint64_t asked = 0, completed = 0, bounced = 0, forfeited = 0, lost = 0;
   Octets octets;
   std::uint64_t connections = 0;
@@ -75,7 +75,7 @@
 };
 
 // How a client reads what it is sent.
-struct Reading {
+struct ReadPattern {
   std::size_t at_once = 1 << 16;  // bytes a read
   double pause = 0;               // s between reads
   int receive_buffer = 0;         // bytes; 0: the system's own
@@ -85,14 +85,14 @@
 class Client {
  public:
   Client(transport::Scheduler& scheduler, transport::Address director, transport::Address from,
-         std::string request_class, bool write, Reading reading, std::uint64_t number);
+         std::string request_class, bool write, ReadPattern reading, std::uint64_t number);
   // So many requests with a pause between; leaves: resets the connection in the middle of the last answer.
   void start(std::uint64_t requests, double pause, bool leaves = false);
   // One request, timed from when it was due; for open loads.
   bool busy() const { return busy_; }
   void request(double due);
   bool done() const { return done_; }
-  const Tally& tally() const { return tally_; }
+  const ClientCounts& tally() const { return tally_; }
   std::vector<double>& latencies() { return latencies_; }
 
  private:
@@ -112,11 +112,11 @@
   transport::Address director_, from_;
   std::string request_class_;
   bool write_;
-  Reading reading_;
+  ReadPattern reading_;
   std::uint64_t number_, asked_ = 0;
   transport::Socket socket_;
   transport::Buffer in_{1 << 16};
-  Tally tally_;
+  ClientCounts tally_;
   std::vector<double> latencies_;
   bool done_ = false, busy_ = false;
 };
--- a/tests/faults/faulty_program.cpp
+++ b/tests/faults/faulty_program.cpp
@@ -110,7 +110,7 @@
   const std::map<std::string, std::size_t> sizes = {{"segment", kAnswerBytes}, {"note", kAnswerBytes}};
   std::vector<std::unique_ptr<rig::Node>> made;
   for (std::uint64_t i = 0; i < kCaches + 1; ++i)  // the last one is the origin
-    made.push_back(std::make_unique<rig::Node>(scheduler, sizes, rig::NodeWays{}, i));
+    made.push_back(std::make_unique<rig::Node>(scheduler, sizes, rig::NodeBehavior{}, i));
   return made;
 }
 
--- a/tests/faults/faulty_program.hpp
+++ b/tests/faults/faulty_program.hpp
@@ -57,7 +57,7 @@
   transport::Scheduler& scheduler;
   FaultControl faults;
   std::vector<std::unique_ptr<rig::Node>> nodes;
-  rig::QuietChangeLog change_log;
+  rig::IdleChangeStream change_log;
   transport::Address listen;
 
  private:
--- a/tests/flow/export_test.cpp
+++ b/tests/flow/export_test.cpp
@@ -29,7 +29,7 @@
 // A director in front of two caches and the origin, with folders of its own.
 class Scene {
  public:
-  explicit Scene(rig::NodeWays ways = {}, const char* listen_at = "127.0.0.1:0") {
+  explicit Scene(rig::NodeBehavior ways = {}, const char* listen_at = "127.0.0.1:0") {
     folder = files::temp_directory_path() / "hareramp-flows-XXXXXX";
     REQUIRE(mkdtemp(folder.data()) != nullptr);
     const std::map<std::string, std::size_t> sizes = {{"clip", 200000}, {"segment", 3000}, {"note", 50}};
@@ -75,7 +75,7 @@
     collecting->listen_tcp(collector_at);
     collecting->listen_udp(collector_at);
   }
-  rig::Client& client(const char* from, const char* request_class, rig::Reading reading = {}) {
+  rig::Client& client(const char* from, const char* request_class, rig::ReadPattern reading = {}) {
     clients.push_back(std::make_unique<rig::Client>(
         scheduler, listen, *transport::Address::parse(std::string(from) + ":0"), request_class,
         request_class == std::string("note"), reading, clients.size()));
@@ -148,7 +148,7 @@
                                   : from_of[i] == "[::1]"   ? "six "
                                                             : "rest ") +
                       request_class_of[i]];
-      const rig::Tally& tally = clients[i]->tally();
+      const rig::ClientCounts& tally = clients[i]->tally();
       sum.out += tally.octets.sent, sum.in += tally.octets.received, sum.requests += tally.asked;
       sum.packets_out += tally.segments.sent, sum.packets_in += tally.segments.received;
       sum.flows += tally.connections;
@@ -158,7 +158,7 @@
 
   std::string folder;
   Scheduler scheduler;
-  rig::QuietChangeLog changes{scheduler};
+  rig::IdleChangeStream changes{scheduler};
   std::vector<std::unique_ptr<rig::Node>> nodes;
   transport::Address listen, collector_at;
   std::unique_ptr<rig::Process> director;
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -124,7 +124,7 @@
   run.replace(run.find("build/hareramp "), 14, HARERAMP_BINARY);
 
   Scheduler scheduler;
-  rig::QuietChangeLog changes(scheduler);
+  rig::IdleChangeStream changes(scheduler);
   rig::Node cache(scheduler, {{"segment", 3000}}, {}, 1), origin(scheduler, {{"segment", 3000}}, {}, 2);
   const transport::Address listen = unused_address(scheduler);
   rig::Site site;
