--- a/experiments/flow_export.cpp
+++ b/experiments/flow_export.cpp
@@ -141,7 +141,7 @@
     std::vector<double> all;
     for (std::size_t i = 0; i < clients.size(); ++i) {
       auto& client = clients[i];
-      run.asked += client->tally().asked, run.completed += client->tally().completed;
+      run.asked += client->counts().asked, run.completed += client->counts().completed;
       if (i % 8 == 1) continue;  // writes are held back for 10 ms, which would be all that a p99 shows
       all.insert(all.end(), client->latencies().begin(), client->latencies().end());
     }
--- a/experiments/rig/world.hpp
+++ b/experiments/rig/world.hpp
@@ -92,7 +92,7 @@
   bool busy() const { return busy_; }
   void request(double due);
   bool done() const { return done_; }
-  const ClientCounts& tally() const { return tally_; }
+  const ClientCounts& counts() const { return tally_; }
   std::vector<double>& latencies() { return latencies_; }
 
  private:
--- a/tests/flow/export_test.cpp
+++ b/tests/flow/export_test.cpp
@@ -148,7 +148,7 @@
                                   : from_of[i] == "[::1]"   ? "six "
                                                             : "rest ") +
                       request_class_of[i]];
-      const rig::ClientCounts& tally = clients[i]->tally();
+      const rig::ClientCounts& tally = clients[i]->counts();
       sum.out += tally.octets.sent, sum.in += tally.octets.received, sum.requests += tally.asked;
       sum.packets_out += tally.segments.sent, sum.packets_in += tally.segments.received;
       sum.flows += tally.connections;
@@ -252,9 +252,9 @@
   scene.operators(scene.collector());
   scene.start();
   for (int i = 0; i < 5; ++i) scene.client("127.0.0.2", "segment").start(60, 0.01);
-  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 15; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->counts().asked > 15; }));
   scene.collecting->pause(true);
-  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 40; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->counts().asked > 40; }));
   scene.collecting->pause(false);
   scene.all_done();
   for (int i = 0; i < 3; ++i) scene.client("127.0.0.3", "segment").start(20, 0.01);
@@ -275,7 +275,7 @@
   scene.start();
   for (int i = 0; i < 5; ++i) scene.client("127.0.0.2", "segment").start(80, 0.01);
   for (const std::uint64_t asked : {20u, 45u}) {
-    REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > asked; }));
+    REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->counts().asked > asked; }));
     // What it had committed comes again after its end and must not count twice: so there has to be some.
     REQUIRE(run_until(scene.scheduler, [&] { return scene.records_kept() > 0; }));
     collector->send(SIGKILL);
@@ -383,7 +383,7 @@
     }
   }
   std::uint64_t asked = 0, completed = 0;
-  for (const auto& one : scene.clients) asked += one->tally().asked, completed += one->tally().completed;
+  for (const auto& one : scene.clients) asked += one->counts().asked, completed += one->counts().completed;
   CHECK(completed == asked);
   auto counters = scene.counters();
   CHECK(counters["flow_records_dropped"] > 0);
@@ -403,7 +403,7 @@
   scene.operators(scene.collector("udp"));
   scene.start();
   for (int i = 0; i < 4; ++i) scene.client("127.0.0.2", "segment").start(40, 0.005);
-  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->tally().asked > 10; }));
+  REQUIRE(run_until(scene.scheduler, [&] { return scene.clients[0]->counts().asked > 10; }));
   scene.operators(scene.collector("tcp"));
   scene.director->send(SIGHUP);
   scene.counters_until([](auto& now) { return now["reloads"] == 1; });
--- a/tests/program/platform_test.cpp
+++ b/tests/program/platform_test.cpp
@@ -140,7 +140,7 @@
     rig::Client client(scheduler, listen, *transport::Address::parse("127.0.0.1:0"), "segment", false, {}, 1);
     client.start(20, 0);
     REQUIRE(run_until(scheduler, [&] { return client.done(); }));
-    CHECK(client.tally().completed == 20);
+    CHECK(client.counts().completed == 20);
 
     const files::path proc = "/proc/" + std::to_string(director.id());
     CHECK(status_field(proc, "Name") == "hareramp");  // the shell is gone
