--- a/experiments/capacity/faults.cpp
+++ b/experiments/capacity/faults.cpp
@@ -68,9 +68,9 @@
         relays_[0]->process().send(SIGCONT);
         break;
       case Fault::kOneSidedCut:
-        paths_[0]->back.cut = true;
+        paths_[0]->from_target.cut = true;
         play(kCut);
-        paths_[0]->back.cut = false;
+        paths_[0]->from_target.cut = false;
         break;
       case Fault::kSourceRestarted:
         restart_source();
@@ -168,7 +168,7 @@
       scheduler_.spawn(dial(*this, *transport::Address::parse(own_address(number % 2))));
   }
   void cut_region() {
-    for (const auto& path : paths_) path->there.cut = path->back.cut = true;
+    for (const auto& path : paths_) path->to_target.cut = path->from_target.cut = true;
     for (const auto& path : paths_) path->reset();
     source_->process().send(SIGALRM);
     backlog_ = kHourOfPurges;
@@ -177,7 +177,7 @@
     // that lapses just then may be told or not.
     lapsed_ = static_cast<std::uint64_t>(
         std::max(0.0, issued_here() + (kBackWithin - kPurgeLifetime + 1) * setup_.rate));
-    for (const auto& path : paths_) path->there.cut = path->back.cut = false;
+    for (const auto& path : paths_) path->to_target.cut = path->from_target.cut = false;
     for (const auto& path : paths_) path->reset();
   }
 
--- a/experiments/rig/relay.cpp
+++ b/experiments/rig/relay.cpp
@@ -44,7 +44,7 @@
 }
 
 Task<> Relay::join(Relay& self, std::shared_ptr<Pair> pair) {
-  while (self.there.cut) co_await self.scheduler_.sleep_until(Scheduler::now() + kLook);
+  while (self.to_target.cut) co_await self.scheduler_.sleep_until(Scheduler::now() + kLook);
   auto connected = co_await transport::connect(self.scheduler_, self.to_, Scheduler::now() + kConnect);
   if (connected.end != transport::ConnectEnd::kUp) {
     pair->near.abort();
@@ -56,7 +56,7 @@
 }
 
 Task<> Relay::pump(Relay& self, std::shared_ptr<Pair> pair, bool forth) {
-  const Way& way = forth ? self.there : self.back;
+  const Way& way = forth ? self.to_target : self.from_target;
   transport::Socket &from = forth ? pair->near : pair->far, &to = forth ? pair->far : pair->near;
   transport::Buffer in(kRoom);
   for (;;) {
--- a/experiments/rig/relay.hpp
+++ b/experiments/rig/relay.hpp
@@ -29,7 +29,7 @@
   void reset();                                    // all that are open
   std::size_t taken() const { return taken_; }     // connections so far
 
-  Way there, back;
+  Way to_target, from_target;
 
  private:
   struct Pair {
--- a/experiments/rig/scenes.cpp
+++ b/experiments/rig/scenes.cpp
@@ -70,10 +70,10 @@
 
 std::vector<Finding> one_sided(Fleet& fleet) {
   fleet.play(5);
-  for (int d = 0; d < fleet.plan().directors / 2; ++d) fleet.link(d, "c0").back.cut = true;
+  for (int d = 0; d < fleet.plan().directors / 2; ++d) fleet.link(d, "c0").from_target.cut = true;
   const double at = fleet.now();
   fleet.play(11);
-  for (int d = 0; d < fleet.plan().directors / 2; ++d) fleet.link(d, "c0").back.cut = false;
+  for (int d = 0; d < fleet.plan().directors / 2; ++d) fleet.link(d, "c0").from_target.cut = false;
   fleet.play(19);
   auto found = usual(fleet, 3, 5, 11, 19);
   double there = 1, apart = 1;  // served by directors that the cut meets, once they know, and by the others
@@ -91,7 +91,7 @@
 
 // Meanwhile all connections to the origin are reset again and again, under writes that it is about to answer.
 std::vector<Finding> third_killed(Fleet& fleet) {
-  for (int d = 0; d < fleet.plan().directors; ++d) fleet.link(d, "origin").back.delay = 0.06;
+  for (int d = 0; d < fleet.plan().directors; ++d) fleet.link(d, "origin").from_target.delay = 0.06;
   const auto play = [&](double until, bool resets) {
     while (fleet.now() < until) {
       fleet.play(std::min(until, fleet.now() + 0.15));
