--- a/experiments/fleet.cpp
+++ b/experiments/fleet.cpp
@@ -1,5 +1,6 @@
-// build/fleet_experiment [--scene NAME] [--seeds N] [--minutes M] [--program FILE] [--history FOLDER]: plays
-// the nights of rig/scenes with real processes, one line a bound; exit status 1 where one does not hold.
+// build/fleet_experiment [--scene NAME] [--seeds N] [--minutes M] [--program FILE] [--history FOLDER]: runs
+// the failure scenarios of rig/scenes with real processes and prints one line for each finding; the exit
+// status is 1 if a bound is not held.
 #include <fmt/format.h>
 
 #include <boost/program_options.hpp>
@@ -10,51 +11,53 @@
 
 using namespace hareramp;
 
-int main(int count, char** words) {
+int main(int argument_count, char** arguments) {
   namespace po = boost::program_options;
-  std::string scene, program, folder;
+  std::string scene, program, history_directory;
   int seeds = 1, directors = 5;
   double minutes = 60, rate = 120;
   po::options_description options("fleet_experiment");
-  options.add_options()("help", "print this")("scene", po::value(&scene), "one night; without it all")(
-      "seeds", po::value(&seeds), "of each, counted from 1")("minutes", po::value(&minutes),
-                                                             "no play begins later")(
+  options.add_options()("help", "print this")("scene", po::value(&scene),
+                                              "name of one scenario; default: all")(
+      "seeds", po::value(&seeds), "number of seeds for each scenario, from 1")("minutes", po::value(&minutes),
+                                                                               "no run starts later")(
       "program", po::value(&program)->default_value("build/hareramp"), "the director")(
-      "directors", po::value(&directors), "processes, 2 to 40")(
-      "rate", po::value(&rate), "requests a second in all")("history", po::value(&folder),
-                                                            "keep what was seen there, as JSON lines");
-  po::variables_map given;
+      "directors", po::value(&directors), "number of processes, 2 to 40")(
+      "rate", po::value(&rate), "requests/s in all")("history", po::value(&history_directory),
+                                                     "directory for the recorded events, as JSON lines");
+  po::variables_map parsed;
   try {
-    po::store(po::parse_command_line(count, words, options), given);
-    po::notify(given);
+    po::store(po::parse_command_line(argument_count, arguments, options), parsed);
+    po::notify(parsed);
   } catch (const po::error& error) {
     std::cerr << "fleet_experiment: " << error.what() << "\n" << options;
     return 2;
   }
-  if (given.count("help") || directors < 2 || directors > 40) {
+  if (parsed.count("help") || directors < 2 || directors > 40) {
     std::cout << options;
-    return given.count("help") ? 0 : 2;
+    return parsed.count("help") ? 0 : 2;
   }
-  int failed = 0, played = 0;
+  int failed = 0, runs = 0;
   const double until = transport::Scheduler::now() + 60 * minutes;
   for (int seed = 1; seed <= seeds; ++seed)
-    for (const auto& night : rig::scenes()) {
-      if (!scene.empty() && night.name != scene) continue;
+    for (const auto& scenario : rig::scenes()) {
+      if (!scene.empty() && scenario.name != scene) continue;
       if (transport::Scheduler::now() > until) continue;
       rig::FleetPlan plan;
       plan.program = program, plan.directors = directors, plan.rate = rate, plan.seed = seed;
       rig::Fleet fleet(plan);
-      for (const auto& finding : night.play(fleet)) {
+      for (const auto& finding : scenario.run(fleet)) {
         failed += !finding.holds();
-        fmt::print("{} {} seed={} {}={:.3f}{}{}\n", finding.holds() ? "PASS" : "FAIL", night.name, seed,
+        fmt::print("{} {} seed={} {}={:.3f}{}{}\n", finding.holds() ? "PASS" : "FAIL", scenario.name, seed,
                    finding.name, finding.value,
-                   finding.least > -1e17 ? fmt::format(" least {}", finding.least) : "",
-                   finding.most < 1e17 ? fmt::format(" most {}", finding.most) : "");
+                   finding.lower_bound > -1e17 ? fmt::format(" least {}", finding.lower_bound) : "",
+                   finding.upper_bound < 1e17 ? fmt::format(" most {}", finding.upper_bound) : "");
       }
-      if (!folder.empty()) fleet.history().save(fmt::format("{}/{}-{}.jsonl", folder, night.name, seed));
-      ++played;
+      if (!history_directory.empty())
+        fleet.history().save(fmt::format("{}/{}-{}.jsonl", history_directory, scenario.name, seed));
+      ++runs;
       std::fflush(stdout);
     }
-  fmt::print("{} plays, {} bounds not held\n", played, failed);
-  return failed > 0 || played == 0 ? 1 : 0;
+  fmt::print("{} plays, {} bounds not held\n", runs, failed);
+  return failed > 0 || runs == 0 ? 1 : 0;
 }
--- a/experiments/fleet_size/node_stand_ins.cpp
+++ b/experiments/fleet_size/node_stand_ins.cpp
@@ -61,7 +61,7 @@
   transport::Buffer in(kReadRoom);
   while ((co_await socket->read(in, kReadRoom, transport::kNever)).ok())
     while (const auto command = rig::next_command(in))
-      if (command->word == "serve") self.serve(node, socket, *command);
+      if (command->verb == "serve") self.serve(node, socket, *command);
 }
 
 Task<> NodeStandIns::write_answer(SocketPointer socket, std::string answer) {
--- a/experiments/rig/commands.hpp
+++ b/experiments/rig/commands.hpp
@@ -1,4 +1,5 @@
-// The little of the caches' protocol that stand-ins read: whole commands, as a director writes them.
+// Parser for the part of the cache protocol that the node stand-ins need: complete commands as a director
+// writes them.
 #pragma once
 
 #include <optional>
@@ -9,11 +10,11 @@
 namespace hareramp::rig {
 
 struct Command {
-  std::string word, id, fields;  // serve or cancel; a cancel has no fields
+  std::string verb, id, fields;  // verb: serve or cancel; a cancel has no fields
 };
-// The next whole command, taken out of the buffer; none while it is not all there. Other lines are passed
-// over.
-std::optional<Command> next_command(transport::Buffer& in);
-std::string field(const std::string& fields, const std::string& name);  // empty if it is not there
+// Removes the next complete command from the buffer and returns it; returns nothing while the command is
+// incomplete. Lines other than serve and cancel are skipped.
+std::optional<Command> next_command(transport::Buffer& input);
+std::string field(const std::string& fields, const std::string& name);  // empty if missing
 
 }  // namespace hareramp::rig
--- a/experiments/rig/process.cpp
+++ b/experiments/rig/process.cpp
@@ -12,28 +12,28 @@
 
 namespace hareramp::rig {
 
-Process::Process(const std::string& program, const std::vector<std::string>& words,
-                 const std::map<std::string, std::string>& variables, std::uint64_t descriptors) {
-  path_ = std::filesystem::temp_directory_path() / "hareramp-rig-XXXXXX";
-  const int file = mkstemp(path_.data());
-  std::vector<std::string> all = {program};
-  all.insert(all.end(), words.begin(), words.end());
+Process::Process(const std::string& program, const std::vector<std::string>& arguments,
+                 const std::map<std::string, std::string>& environment, std::uint64_t descriptor_limit) {
+  output_path_ = std::filesystem::temp_directory_path() / "hareramp-rig-XXXXXX";
+  const int output = mkstemp(output_path_.data());
+  std::vector<std::string> command = {program};
+  command.insert(command.end(), arguments.begin(), arguments.end());
   child_ = fork();
   if (child_ == 0) {
-    for (const char* known : {"EDGE_NAME", "EDGE_LISTEN", "EDGE_CONFIG", "HARERAMP_OPERATOR"})
-      unsetenv(known);
-    for (const auto& [key, value] : variables) setenv(key.c_str(), value.c_str(), 1);
-    dup2(file, 1), dup2(file, 2);
-    for (int other = 3; other < 1024; ++other) ::close(other);
-    const rlimit most{descriptors, descriptors};
-    if (descriptors > 0) setrlimit(RLIMIT_NOFILE, &most);
-    std::vector<char*> raw;
-    for (std::string& word : all) raw.push_back(word.data());
-    raw.push_back(nullptr);
-    execv(raw[0], raw.data());
+    for (const char* variable : {"EDGE_NAME", "EDGE_LISTEN", "EDGE_CONFIG", "HARERAMP_OPERATOR"})
+      unsetenv(variable);
+    for (const auto& [key, value] : environment) setenv(key.c_str(), value.c_str(), 1);
+    dup2(output, 1), dup2(output, 2);
+    for (int descriptor = 3; descriptor < 1024; ++descriptor) ::close(descriptor);
+    const rlimit limit{descriptor_limit, descriptor_limit};
+    if (descriptor_limit > 0) setrlimit(RLIMIT_NOFILE, &limit);
+    std::vector<char*> argv;
+    for (std::string& argument : command) argv.push_back(argument.data());
+    argv.push_back(nullptr);
+    execv(argv[0], argv.data());
     _exit(127);
   }
-  ::close(file);
+  ::close(output);
 }
 
 Process::~Process() {
@@ -41,7 +41,7 @@
     kill(child_, SIGKILL);
     waitpid(child_, nullptr, 0);
   }
-  std::filesystem::remove(path_);
+  std::filesystem::remove(output_path_);
 }
 
 void Process::send(int signal) { kill(child_, signal); }
@@ -52,24 +52,24 @@
 int Process::status() const { return WIFEXITED(status_) ? WEXITSTATUS(status_) : 1000 + WTERMSIG(status_); }
 
 std::string Process::printed() const {
-  std::ifstream file(path_);
+  std::ifstream file(output_path_);
   std::stringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
 std::map<std::string, std::uint64_t> Process::counters() const {
-  std::map<std::string, std::uint64_t> all;
+  std::map<std::string, std::uint64_t> values;
   const std::string text = printed();
-  const auto at = text.rfind("counters ");
-  if (at == std::string::npos) return all;
-  std::istringstream words(text.substr(at, text.find('\n', at) - at));
-  for (std::string word; words >> word;) {
-    const auto equals = word.find('=');
+  const auto line = text.rfind("counters ");
+  if (line == std::string::npos) return values;
+  std::istringstream pairs(text.substr(line, text.find('\n', line) - line));
+  for (std::string pair; pairs >> pair;) {
+    const auto equals = pair.find('=');
     if (equals != std::string::npos)
-      all[word.substr(0, equals)] = std::strtoull(word.c_str() + equals + 1, nullptr, 10);
+      values[pair.substr(0, equals)] = std::strtoull(pair.c_str() + equals + 1, nullptr, 10);
   }
-  return all;
+  return values;
 }
 
 }  // namespace hareramp::rig
--- a/experiments/rig/relay.cpp
+++ b/experiments/rig/relay.cpp
@@ -10,71 +10,73 @@
 using transport::Task;
 
 namespace {
-constexpr std::size_t kRoom = 1 << 14;
-constexpr double kLook = 0.005;  // s between looks at a cut
-constexpr double kConnect = 2;   // s
+constexpr std::size_t kBufferBytes = 1 << 14;
+constexpr double kCutPollInterval = 0.005;  // s between checks whether a cut has healed
+constexpr double kConnectTimeout = 2;       // s
 }  // namespace
 
-Relay::Relay(Scheduler& scheduler, transport::Address to)
+Relay::Relay(Scheduler& scheduler, transport::Address target)
     : scheduler_(scheduler),
-      to_(to),
+      target_(target),
       listener_(scheduler, *transport::Address::parse("127.0.0.1:0"), 512),
       address_(listener_.address()) {
-  scheduler.spawn(take(*this));
+  scheduler.spawn(accept_connections(*this));
 }
 Relay::~Relay() { listener_.close(); }
 
 void Relay::reset() {
-  for (auto& held : std::exchange(pairs_, {}))
-    if (const auto pair = held.lock()) pair->near.abort(), pair->far.abort();
+  for (auto& open_pair : std::exchange(pairs_, {}))
+    if (const auto pair = open_pair.lock()) pair->client.abort(), pair->target.abort();
 }
 
-Task<> Relay::take(Relay& self) {
+Task<> Relay::accept_connections(Relay& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
     if (accepted.end == transport::Listener::End::kClosed) co_return;
     if (accepted.end != transport::Listener::End::kTaken) continue;
-    ++self.taken_;
+    ++self.accepted_connections_;
     auto pair = std::make_shared<Pair>();
-    pair->near = std::move(accepted.socket);
-    std::erase_if(self.pairs_, [](const auto& held) { return held.expired(); });
+    pair->client = std::move(accepted.socket);
+    std::erase_if(self.pairs_, [](const auto& open_pair) { return open_pair.expired(); });
     self.pairs_.push_back(pair);
-    self.scheduler_.spawn(join(self, std::move(pair)));
+    self.scheduler_.spawn(connect_pair(self, std::move(pair)));
   }
 }
 
-Task<> Relay::join(Relay& self, std::shared_ptr<Pair> pair) {
-  while (self.to_target.cut) co_await self.scheduler_.sleep_until(Scheduler::now() + kLook);
-  auto connected = co_await transport::connect(self.scheduler_, self.to_, Scheduler::now() + kConnect);
+Task<> Relay::connect_pair(Relay& self, std::shared_ptr<Pair> pair) {
+  while (self.to_target.cut) co_await self.scheduler_.sleep_until(Scheduler::now() + kCutPollInterval);
+  auto connected =
+      co_await transport::connect(self.scheduler_, self.target_, Scheduler::now() + kConnectTimeout);
   if (connected.end != transport::ConnectEnd::kUp) {
-    pair->near.abort();
+    pair->client.abort();
     co_return;
   }
-  pair->far = std::move(connected.socket);
+  pair->target = std::move(connected.socket);
   self.scheduler_.spawn(pump(self, pair, true));
   self.scheduler_.spawn(pump(self, std::move(pair), false));
 }
 
-Task<> Relay::pump(Relay& self, std::shared_ptr<Pair> pair, bool forth) {
-  const Way& way = forth ? self.to_target : self.from_target;
-  transport::Socket &from = forth ? pair->near : pair->far, &to = forth ? pair->far : pair->near;
-  transport::Buffer in(kRoom);
+Task<> Relay::pump(Relay& self, std::shared_ptr<Pair> pair, bool towards_target) {
+  const Direction& direction = towards_target ? self.to_target : self.from_target;
+  transport::Socket &from = towards_target ? pair->client : pair->target,
+                    &to = towards_target ? pair->target : pair->client;
+  transport::Buffer buffer(kBufferBytes);
   for (;;) {
-    const auto io = co_await from.read(in, kRoom, kNever);
-    const double wait = way.delay + (way.bytes_per_s > 0 ? io.bytes / way.bytes_per_s : 0);
+    const auto io = co_await from.read(buffer, kBufferBytes, kNever);
+    const double wait = direction.delay + (direction.bytes_per_s > 0 ? io.bytes / direction.bytes_per_s : 0);
     if (wait > 0) co_await self.scheduler_.sleep_until(Scheduler::now() + wait);
-    while (way.cut && from.open() && to.open())
-      co_await self.scheduler_.sleep_until(Scheduler::now() + kLook);
+    while (direction.cut && from.open() && to.open())
+      co_await self.scheduler_.sleep_until(Scheduler::now() + kCutPollInterval);
     if (!from.open() || !to.open()) co_return;
     if (io.end == IoEnd::kEnded) {
       to.finish();
       co_return;
     }
-    if (!io.ok() || !(co_await to.write(in.view(), kNever)).ok()) {
+    if (!io.ok() || !(co_await to.write(buffer.view(), kNever)).ok()) {
       from.abort(), to.abort();
       co_return;
     }
-    in.consume(in.size());
+    buffer.consume(buffer.size());
   }
 }
 
--- a/experiments/rig/relay.hpp
+++ b/experiments/rig/relay.hpp
@@ -1,7 +1,7 @@
-// One pair's connections on loopback, with faults put between: what goes there and what comes back are
-// delayed, throttled, held or reset each on its own. TCP loses nothing: a cut direction holds its bytes until
-// it heals or the connection ends, and a connection set up during a cut comes up and stays silent, which is
-// harder to tell than one that never comes up.
+// TCP relay on loopback that injects network faults between two endpoints. Each direction can be delayed,
+// throttled or cut independently; reset() aborts all open connections. TCP loses no data: a cut direction
+// keeps its bytes until it heals or the connection ends. A connection opened during a cut is established and
+// stays silent, which is harder to detect than a connection that is never established.
 #pragma once
 
 #include <list>
@@ -12,39 +12,39 @@
 
 namespace hareramp::rig {
 
-struct Way {
+struct Direction {
   double delay = 0;        // s
-  double bytes_per_s = 0;  // 0: as fast as it goes
+  double bytes_per_s = 0;  // 0: unlimited
   bool cut = false;
 };
 
 class Relay {
  public:
-  Relay(transport::Scheduler& scheduler, transport::Address to);
+  Relay(transport::Scheduler& scheduler, transport::Address target);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
   transport::Address address() const { return address_; }
-  void moved(transport::Address to) { to_ = to; }  // for connections that come from now on
-  void reset();                                    // all that are open
-  std::size_t taken() const { return taken_; }     // connections so far
+  void set_target(transport::Address target) { target_ = target; }  // for connections accepted from now on
+  void reset();                                                     // aborts all open connections
+  std::size_t accepted_connections() const { return accepted_connections_; }  // since the start
 
-  Way to_target, from_target;
+  Direction to_target, from_target;
 
  private:
   struct Pair {
-    transport::Socket near, far;
+    transport::Socket client, target;
   };
-  static transport::Task<> take(Relay& self);
-  static transport::Task<> join(Relay& self, std::shared_ptr<Pair> pair);
-  static transport::Task<> pump(Relay& self, std::shared_ptr<Pair> pair, bool forth);
+  static transport::Task<> accept_connections(Relay& self);
+  static transport::Task<> connect_pair(Relay& self, std::shared_ptr<Pair> pair);
+  static transport::Task<> pump(Relay& self, std::shared_ptr<Pair> pair, bool towards_target);
 
   transport::Scheduler& scheduler_;
-  transport::Address to_;
+  transport::Address target_;
   transport::Listener listener_;
   transport::Address address_;
   std::list<std::weak_ptr<Pair>> pairs_;
-  std::size_t taken_ = 0;
+  std::size_t accepted_connections_ = 0;
 };
 
 }  // namespace hareramp::rig
--- a/experiments/rig/scenes.hpp
+++ b/experiments/rig/scenes.hpp
@@ -1,5 +1,6 @@
-// Six nights of a small fleet, each with one kind of failure put between real processes, and the figures that
-// are bounded. The tests play them once, the long form over seeds.
+// Six failure scenarios of a small fleet of real director processes, each with one kind of fault, and the
+// measured values with their bounds. The tests run each scenario once; fleet_experiment can run them with
+// many seeds.
 #pragma once
 
 #include <functional>
@@ -12,13 +13,13 @@
 
 struct Finding {
   std::string name;
-  double value = 0, least = -1e18, most = 1e18;
-  bool holds() const { return value >= least && value <= most; }
+  double value = 0, lower_bound = -1e18, upper_bound = 1e18;
+  bool holds() const { return value >= lower_bound && value <= upper_bound; }
 };
 
 struct Scene {
-  std::string name, what;
-  std::vector<Finding> (*play)(Fleet& fleet);
+  std::string name, description;
+  std::vector<Finding> (*run)(Fleet& fleet);
 };
 const std::vector<Scene>& scenes();
 
--- a/experiments/rig/world.cpp
+++ b/experiments/rig/world.cpp
@@ -18,32 +18,32 @@
 using transport::Task;
 
 namespace {
-constexpr std::size_t kReadRoom = 65536;
-transport::Address any() { return *transport::Address::parse("127.0.0.1:0"); }
+constexpr std::size_t kReadBytes = 65536;
+transport::Address any_loopback_port() { return *transport::Address::parse("127.0.0.1:0"); }
 }  // namespace
 
-Node::Node(Scheduler& scheduler, std::map<std::string, std::size_t> sizes, NodeBehavior ways,
+Node::Node(Scheduler& scheduler, std::map<std::string, std::size_t> sizes, NodeBehavior behavior,
            std::uint64_t seed)
     : scheduler_(scheduler),
       sizes_(std::move(sizes)),
-      ways_(ways),
-      chance_(seed),
-      listener_(scheduler, any(), 512),
+      behavior_(behavior),
+      random_(seed),
+      listener_(scheduler, any_loopback_port(), 512),
       address_(listener_.address()) {
-  scheduler.spawn(take(*this));
+  scheduler.spawn(accept_connections(*this));
 }
 
-Task<> Node::take(Node& self) {
+Task<> Node::accept_connections(Node& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
     if (accepted.end == transport::Listener::End::kClosed) co_return;
     if (accepted.end == transport::Listener::End::kTaken)
-      self.scheduler_.spawn(talk(self, std::make_shared<Socket>(std::move(accepted.socket))));
+      self.scheduler_.spawn(serve_connection(self, std::make_shared<Socket>(std::move(accepted.socket))));
   }
 }
 
-Task<> Node::answer(Node& self, std::shared_ptr<Socket> socket, std::string text, bool reset) {
-  co_await self.scheduler_.sleep_until(Scheduler::now() + self.ways_.delay);
+Task<> Node::write_answer(Node& self, std::shared_ptr<Socket> socket, std::string text, bool reset) {
+  co_await self.scheduler_.sleep_until(Scheduler::now() + self.behavior_.delay);
   if (reset) {
     socket->abort();
     co_return;
@@ -52,44 +52,44 @@
   self.octets_.sent += io.bytes;
 }
 
-Task<> Node::talk(Node& self, std::shared_ptr<Socket> socket) {
-  Buffer in(1 << 16);
+Task<> Node::serve_connection(Node& self, std::shared_ptr<Socket> socket) {
+  Buffer buffer(1 << 16);
   for (;;) {
-    const auto io = co_await socket->read(in, kReadRoom, kNever);
+    const auto io = co_await socket->read(buffer, kReadBytes, kNever);
     if (!io.ok()) co_return;
     self.octets_.received += io.bytes;
-    while (const auto command = next_command(in)) {
-      if (command->word != "serve") continue;
+    while (const auto command = next_command(buffer)) {
+      if (command->verb != "serve") continue;
       ++self.requests_;
       const std::string &id = command->id, &fields = command->fields;
       const auto size = self.sizes_.find(field(fields, "lane"));
       const std::size_t bytes = size == self.sizes_.end() ? 100 : size->second;
       std::uniform_real_distribution<double> share(0, 1);
-      const bool reset = share(self.chance_) < self.ways_.resets,
-                 away = share(self.chance_) < self.ways_.turns_away;
+      const bool reset = share(self.random_) < self.behavior_.reset_share,
+                 rejected = share(self.random_) < self.behavior_.rejected_share;
       std::string text = fmt::format("{} ACK sum=rig,t0=1,why=mem {}\r\n", id, bytes);
       text.append(bytes, 'x').append("\r\n");
-      if (away) text = id + " AGAIN why=crowded 0\r\n\r\n";
-      self.scheduler_.spawn(answer(self, socket, std::move(text), reset));
+      if (rejected) text = id + " AGAIN why=crowded 0\r\n\r\n";
+      self.scheduler_.spawn(write_answer(self, socket, std::move(text), reset));
     }
   }
 }
 
 IdleChangeStream::IdleChangeStream(Scheduler& scheduler)
-    : scheduler_(scheduler), listener_(scheduler, any(), 16), address_(listener_.address()) {
-  scheduler.spawn(take(*this));
+    : scheduler_(scheduler), listener_(scheduler, any_loopback_port(), 16), address_(listener_.address()) {
+  scheduler.spawn(accept_connections(*this));
 }
 
-Task<> IdleChangeStream::take(IdleChangeStream& self) {
+Task<> IdleChangeStream::accept_connections(IdleChangeStream& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
     if (accepted.end == transport::Listener::End::kClosed) co_return;
     if (accepted.end == transport::Listener::End::kTaken)
-      self.scheduler_.spawn(talk(self, std::move(accepted.socket)));
+      self.scheduler_.spawn(serve_connection(self, std::move(accepted.socket)));
   }
 }
 
-Task<> IdleChangeStream::talk(IdleChangeStream& self, Socket socket) {
+Task<> IdleChangeStream::serve_connection(IdleChangeStream& self, Socket socket) {
   std::string text = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
   while ((co_await socket.write(text, kNever)).ok()) {
     co_await self.scheduler_.sleep_until(Scheduler::now() + 1);
@@ -102,91 +102,91 @@
 }
 
 Client::Client(Scheduler& scheduler, transport::Address director, transport::Address from,
-               std::string request_class, bool write, ReadPattern reading, std::uint64_t number)
+               std::string request_class, bool write, ReadPattern read_pattern, std::uint64_t number)
     : scheduler_(scheduler),
       director_(director),
       from_(from),
       request_class_(std::move(request_class)),
       write_(write),
-      reading_(reading),
+      read_pattern_(read_pattern),
       number_(number) {}
 
 Task<bool> Client::connect() {
   auto connected = co_await transport::connect(scheduler_, director_, Scheduler::now() + 2, &from_);
   if (connected.end != transport::ConnectEnd::kUp) co_return false;
   socket_ = std::move(connected.socket);
-  ++tally_.connections;
-  in_.consume(in_.size());
-  if (reading_.receive_buffer > 0)
-    setsockopt(socket_.descriptor(), SOL_SOCKET, SO_RCVBUF, &reading_.receive_buffer,
-               sizeof reading_.receive_buffer);
+  ++counts_.connections;
+  received_.consume(received_.size());
+  if (read_pattern_.receive_buffer > 0)
+    setsockopt(socket_.descriptor(), SOL_SOCKET, SO_RCVBUF, &read_pattern_.receive_buffer,
+               sizeof read_pattern_.receive_buffer);
   co_return true;
 }
 
 void Client::close() {
-  if (const auto counts = transport::tcp_counts(socket_.descriptor()); counts && socket_.open()) {
-    tally_.segments.sent += counts->segments_out;
-    tally_.segments.received += counts->segments_in;
+  if (const auto tcp = transport::tcp_counts(socket_.descriptor()); tcp && socket_.open()) {
+    counts_.segments.sent += tcp->segments_out;
+    counts_.segments.received += tcp->segments_in;
   }
   socket_.close();
 }
 
-Task<bool> Client::ask(bool leave) {
+Task<bool> Client::send_request(bool reset_midway) {
   if (!socket_.open() && !co_await connect()) {
-    ++tally_.lost;
+    ++counts_.lost;
     co_return false;
   }
-  ++tally_.asked;
+  ++counts_.asked;
   const std::string body = write_ ? "sorted" : "";
   const std::string request = fmt::format(
       "{} /invoke/{}/{:x}/block-0 HTTP/1.1\r\nHost: rig\r\nX-Correlation-Id: {:08x}{:08x}\r\nX-Deadline-Ms: "
       "10000\r\n{}\r\n{}",
-      write_ ? "PUT" : "GET", request_class_, 1000 + number_ % 50, number_, asked_++,
+      write_ ? "PUT" : "GET", request_class_, 1000 + number_ % 50, number_, requests_sent_++,
       write_ ? fmt::format("Content-Length: {}\r\n", body.size()) : "", body);
-  const auto out = co_await socket_.write(request, Scheduler::now() + 10);
-  tally_.octets.sent += out.bytes;
+  const auto written = co_await socket_.write(request, Scheduler::now() + 10);
+  counts_.octets.sent += written.bytes;
   protocol::HttpParser parser(protocol::HttpParser::Message::kResponse, {16384, 1 << 24});
   Answer answer;
   for (;;) {
-    const auto io = co_await socket_.read(in_, reading_.at_once, Scheduler::now() + 20);
-    tally_.octets.received += io.bytes;
+    const auto io = co_await socket_.read(received_, read_pattern_.bytes_per_read, Scheduler::now() + 20);
+    counts_.octets.received += io.bytes;
     if (!io.ok()) {
-      ++tally_.lost;
+      ++counts_.lost;
       close();
       co_return false;
     }
-    if (leave) {
-      ++tally_.lost;
+    if (reset_midway) {
+      ++counts_.lost;
       socket_.abort();
       co_return false;
     }
     auto step = protocol::HttpParser::Step::kHead;
-    while (step == protocol::HttpParser::Step::kHead) {  // what is behind the head may be here already
-      std::size_t used = 0;
-      step = parser.feed(in_.view(), used, answer);
-      in_.consume(used);
+    while (step == protocol::HttpParser::Step::kHead) {  // the body may already be in the buffer
+      std::size_t consumed = 0;
+      step = parser.feed(received_.view(), consumed, answer);
+      received_.consume(consumed);
     }
     if (step == protocol::HttpParser::Step::kDone) break;
     if (step != protocol::HttpParser::Step::kMore) {
-      ++tally_.lost;
+      ++counts_.lost;
       close();
       co_return false;
     }
-    if (reading_.pause > 0) co_await scheduler_.sleep_until(Scheduler::now() + reading_.pause);
+    if (read_pattern_.pause > 0) co_await scheduler_.sleep_until(Scheduler::now() + read_pattern_.pause);
   }
-  if (answer.status == 200 || answer.status == 304) ++tally_.completed;
-  if (answer.status == 503) ++tally_.bounced;
-  if (answer.status == 500) ++tally_.forfeited;
+  if (answer.status == 200 || answer.status == 304) ++counts_.completed;
+  if (answer.status == 503) ++counts_.bounced;
+  if (answer.status == 500) ++counts_.forfeited;
   co_return true;
 }
 
-void Client::start(std::uint64_t requests, double pause, bool leaves) {
-  scheduler_.spawn(live(*this, requests, pause, leaves));
+void Client::start(std::uint64_t requests, double pause, bool reset_last) {
+  scheduler_.spawn(run_requests(*this, requests, pause, reset_last));
 }
 
-Task<> Client::live(Client& self, std::uint64_t requests, double pause, bool leaves) {
+Task<> Client::run_requests(Client& self, std::uint64_t requests, double pause, bool reset_last) {
   for (std::uint64_t i = 0; i < requests; ++i) {
-    co_await self.ask(leaves && i + 1 == requests);
+    co_await self.send_request(reset_last && i + 1 == requests);
     if (pause > 0) co_await self.scheduler_.sleep_until(Scheduler::now() + pause);
   }
   self.close();
@@ -195,11 +195,11 @@
 
 void Client::request(double due) {
   busy_ = true;
-  scheduler_.spawn(one(*this, due));
+  scheduler_.spawn(run_timed_request(*this, due));
 }
 
-Task<> Client::one(Client& self, double due) {
-  const bool answered = co_await self.ask(false);
+Task<> Client::run_timed_request(Client& self, double due) {
+  const bool answered = co_await self.send_request(false);
   if (answered) self.latencies_.push_back(Scheduler::now() - due);
   self.busy_ = false;
 }
--- a/experiments/rig/world.hpp
+++ b/experiments/rig/world.hpp
@@ -1,6 +1,6 @@
-// Stand-ins for everything round one director, on loopback: nodes that speak the caches' protocol, the change
-// log, and clients that request. Each counts the octets that pass it, by itself. No model of a real node:
-// what they are for is load and exact counts.
+// Stand-ins on loopback for everything that one director connects to or serves: nodes that speak the cache
+// protocol, the source of the change stream, and clients. Nodes and clients each count the octets that they
+// send and receive. They produce load and exact counts and do not model a real node.
 #pragma once
 
 #include <cstdint>
@@ -22,46 +22,46 @@
 };
 
 struct NodeBehavior {
-  double resets = 0;      // share of answers that a reset takes the place of
-  double turns_away = 0;  // share of AGAIN
-  double delay = 0.001;   // s to an answer
+  double reset_share = 0;     // share of the answers replaced by a connection reset
+  double rejected_share = 0;  // share of the answers that are AGAIN
+  double delay = 0.001;       // s from a command to its answer
 };
 
-// A node: answers every request with bytes, as many as its grade has.
+// A node that answers every request with as many bytes as its request class has.
 class Node {
  public:
-  Node(transport::Scheduler& scheduler, std::map<std::string, std::size_t> sizes, NodeBehavior ways,
+  Node(transport::Scheduler& scheduler, std::map<std::string, std::size_t> sizes, NodeBehavior behavior,
        std::uint64_t seed);
   transport::Address address() const { return address_; }
   const Octets& octets() const { return octets_; }
   std::uint64_t requests() const { return requests_; }
-  void set_ways(NodeBehavior ways) { ways_ = ways; }
+  void set_behavior(NodeBehavior behavior) { behavior_ = behavior; }
 
  private:
-  static transport::Task<> take(Node& self);
-  static transport::Task<> talk(Node& self, std::shared_ptr<transport::Socket> socket);
-  static transport::Task<> answer(Node& self, std::shared_ptr<transport::Socket> socket, std::string text,
-                                  bool reset);
+  static transport::Task<> accept_connections(Node& self);
+  static transport::Task<> serve_connection(Node& self, std::shared_ptr<transport::Socket> socket);
+  static transport::Task<> write_answer(Node& self, std::shared_ptr<transport::Socket> socket,
+                                        std::string text, bool reset);
 
   transport::Scheduler& scheduler_;
   std::map<std::string, std::size_t> sizes_;
-  NodeBehavior ways_;
-  std::mt19937_64 chance_;
+  NodeBehavior behavior_;
+  std::mt19937_64 random_;
   transport::Listener listener_;
   transport::Address address_;
   Octets octets_;
   std::uint64_t requests_ = 0;
 };
 
-// The change log that never has anything new.
+// Source of a change stream that never sends an event, only comments.
 class IdleChangeStream {
  public:
   explicit IdleChangeStream(transport::Scheduler& scheduler);
   transport::Address address() const { return address_; }
 
  private:
-  static transport::Task<> take(IdleChangeStream& self);
-  static transport::Task<> talk(IdleChangeStream& self, transport::Socket socket);
+  static transport::Task<> accept_connections(IdleChangeStream& self);
+  static transport::Task<> serve_connection(IdleChangeStream& self, transport::Socket socket);
   transport::Scheduler& scheduler_;
   transport::Listener listener_;
   transport::Address address_;
@@ -71,28 +71,30 @@
   std::uint64_t asked = 0, completed = 0, bounced = 0, forfeited = 0, lost = 0;
   Octets octets;
   std::uint64_t connections = 0;
-  Octets segments;  // as the client's kernel counted, until the client closes
+  Octets segments;  // TCP segments as counted by the kernel, added when the client closes the connection
 };
 
-// How a client reads what it is sent.
+// How a client reads its answers.
 struct ReadPattern {
-  std::size_t at_once = 1 << 16;  // bytes a read
-  double pause = 0;               // s between reads
-  int receive_buffer = 0;         // bytes; 0: the system's own
+  std::size_t bytes_per_read = 1 << 16;  // at most
+  double pause = 0;                      // s between reads
+  int receive_buffer = 0;                // bytes; 0: the system default
 };
 
-// One connection that requests one grade, one request after another.
+// A client that sends requests of one request class one after another over one connection, which it opens
+// again after it was closed.
 class Client {
  public:
   Client(transport::Scheduler& scheduler, transport::Address director, transport::Address from,
-         std::string request_class, bool write, ReadPattern reading, std::uint64_t number);
-  // So many requests with a pause between; leaves: resets the connection in the middle of the last answer.
-  void start(std::uint64_t requests, double pause, bool leaves = false);
-  // One request, timed from when it was due; for open loads.
+         std::string request_class, bool write, ReadPattern read_pattern, std::uint64_t number);
+  // Sends `requests` requests with `pause` seconds between them. reset_last: resets the connection in the
+  // middle of the last answer.
+  void start(std::uint64_t requests, double pause, bool reset_last = false);
   bool busy() const { return busy_; }
+  // Sends one request and measures its latency from the time when it was due; for open-loop load.
   void request(double due);
   bool done() const { return done_; }
-  const ClientCounts& counts() const { return tally_; }
+  const ClientCounts& counts() const { return counts_; }
   std::vector<double>& latencies() { return latencies_; }
 
  private:
@@ -102,26 +104,27 @@
     void header(std::string_view, std::string_view) override {}
     void body(std::string_view) override {}
   };
-  static transport::Task<> live(Client& self, std::uint64_t requests, double pause, bool leaves);
-  static transport::Task<> one(Client& self, double due);
+  static transport::Task<> run_requests(Client& self, std::uint64_t requests, double pause, bool reset_last);
+  static transport::Task<> run_timed_request(Client& self, double due);
   transport::Task<bool> connect();
-  transport::Task<bool> ask(bool leave);
+  transport::Task<bool> send_request(bool reset_midway);
   void close();
 
   transport::Scheduler& scheduler_;
   transport::Address director_, from_;
   std::string request_class_;
   bool write_;
-  ReadPattern reading_;
-  std::uint64_t number_, asked_ = 0;
+  ReadPattern read_pattern_;
+  std::uint64_t number_, requests_sent_ = 0;
   transport::Socket socket_;
-  transport::Buffer in_{1 << 16};
-  ClientCounts tally_;
+  transport::Buffer received_{1 << 16};
+  ClientCounts counts_;
   std::vector<double> latencies_;
   bool done_ = false, busy_ = false;
 };
 
-// A configuration for one director in front of these nodes. Grades: clip, segment (reads), note (a write).
+// The nodes and addresses that one director is configured with. Request classes: clip and segment (reads),
+// note (a write).
 struct Site {
   std::string listen, change_log;
   std::vector<std::pair<std::string, std::string>> caches;  // id and address
