--- a/experiments/fleet_size/node_stand_ins.cpp
+++ b/experiments/fleet_size/node_stand_ins.cpp
@@ -16,13 +16,13 @@
 namespace {
 
 constexpr int kBacklog = 4096;
-constexpr std::size_t kReadRoom = 4096;     // bytes
-constexpr double kWriteTimeout = 5.0;       // s
-constexpr double kLookupTime = 0.001;       // s
-constexpr double kParentTime = 0.004;       // s: a fill that the parent holds
-constexpr double kOriginTime = 0.015;       // s: a fill that the parent fetches
-constexpr std::size_t kContentBytes = 400;  // on the wire, whatever the object's size is said to be
-constexpr double kTransferTime = kObjectKb / kStreamKbPerS;  // s at full pace
+constexpr std::size_t kReadBytes = 4096;  // bytes
+constexpr double kWriteTimeout = 5.0;     // s
+constexpr double kLookupTime = 0.001;     // s
+constexpr double kParentTime = 0.004;     // s: a fill with an object that the parent holds
+constexpr double kOriginTime = 0.015;     // s: a fill with an object that the parent fetches from the origin
+constexpr std::size_t kContentBytes = 400;  // bytes sent, independent of the object's declared size
+constexpr double kTransferTime = kObjectKb / kStreamKbPerS;  // s at the full rate
 
 const std::string& content() {
   static const std::string kContent(kContentBytes, 'x');
@@ -45,8 +45,8 @@
 Task<> NodeStandIns::accept_connections(NodeStandIns& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end != transport::Listener::End::kTaken) continue;
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status != transport::Listener::Status::kAccepted) continue;
     const auto own = transport::Address::own(accepted.socket.descriptor());
     const auto node = own ? Site::node_at(*own) : std::nullopt;
     if (!node || *node >= static_cast<int>(self.states_.size())) continue;
@@ -58,9 +58,9 @@
 }
 
 Task<> NodeStandIns::serve_connection(NodeStandIns& self, SocketPointer socket, int node) {
-  transport::Buffer in(kReadRoom);
-  while ((co_await socket->read(in, kReadRoom, transport::kNever)).ok())
-    while (const auto command = rig::next_command(in))
+  transport::Buffer received(kReadBytes);
+  while ((co_await socket->read(received, kReadBytes, transport::kNever)).ok())
+    while (const auto command = rig::next_command(received))
       if (command->verb == "serve") self.serve(node, socket, *command);
 }
 
@@ -74,7 +74,7 @@
   State& state = states_[static_cast<std::size_t>(node)];
   double time = kLookupTime + reply.fill_time;
   if (completed) {
-    // Transfers share what the node bears.
+    // Active transfers share the capacity of the node.
     ++state.transfers;
     const double weight = site_.nodes()[static_cast<std::size_t>(node)].weight;
     time += kTransferTime * std::max(1.0, state.transfers / weight);
@@ -94,12 +94,12 @@
     ++use_.origin_fetches;
     return {"ACK", "mem", kOriginTime};
   }
-  if (state.held.contains(object)) {
+  if (state.objects.contains(object)) {
     ++use_.hits;
     return {"ACK", "mem"};
   }
   if (source.empty()) {
-    ++use_.lookups_absent;
+    ++use_.lookup_misses;
     return {"NOENT", "absent"};
   }
   return fill(state, source, object, fields.find("have-only") != std::string::npos);
@@ -111,13 +111,13 @@
   if (source == numbers_.end()) return {"AGAIN", "unreached"};
   const NodeKind kind = site_.nodes()[static_cast<std::size_t>(source->second)].kind;
   State& from = states_[static_cast<std::size_t>(source->second)];
-  const bool held = kind != NodeKind::kOrigin && from.held.contains(object);
-  if (!held && (cached_only || kind == NodeKind::kCache)) return {"NOENT", "absent"};
+  const bool objects = kind != NodeKind::kOrigin && from.objects.contains(object);
+  if (!objects && (cached_only || kind == NodeKind::kCache)) return {"NOENT", "absent"};
   ++use_.fills;
-  cache.held.insert(object);
-  if (held) return {"ACK", "parent", kParentTime};
+  cache.objects.insert(object);
+  if (objects) return {"ACK", "parent", kParentTime};
   ++use_.origin_fetches;
-  if (kind == NodeKind::kParent) from.held.insert(object);
+  if (kind == NodeKind::kParent) from.objects.insert(object);
   return {"ACK", "origin", kOriginTime};
 }
 
--- a/experiments/fleet_size/traffic.cpp
+++ b/experiments/fleet_size/traffic.cpp
@@ -17,11 +17,11 @@
 
 namespace {
 
-constexpr int kMostOpen = 64;  // requests at once
-constexpr std::size_t kReadRoom = 4096;
+constexpr int kMaxOpenRequests = 64;  // at the same time
+constexpr std::size_t kReadBytes = 4096;
 constexpr double kDeadline = 3.0;      // s, of a request
-constexpr double kAnswerMargin = 0.5;  // s past it until an answer counts as missing
-constexpr protocol::HttpBounds kAnswerBounds = {.head_bytes = 16384, .body_bytes = 1 << 20};
+constexpr double kAnswerMargin = 0.5;  // s after the deadline until an answer counts as missing
+constexpr protocol::HttpLimits kAnswerBounds = {.head_bytes = 16384, .body_bytes = 1 << 20};
 
 struct AnswerHead : protocol::HttpHandler {
   int status = 0;
@@ -37,13 +37,13 @@
 Traffic::Traffic(Scheduler& scheduler, transport::Address director, TrafficPlan plan)
     : scheduler_(scheduler), director_(director), plan_(plan), random_(plan.seed) {
   double sum = 0;
-  for (int place = 1; place <= plan_.objects; ++place) {
-    sum += std::pow(place, -plan_.zipf);
+  for (int rank = 1; rank <= plan_.objects; ++rank) {
+    sum += std::pow(rank, -plan_.zipf);
     cumulative_.push_back(sum);
   }
 }
 
-void Traffic::start(double until) { scheduler_.spawn(arrive(*this, until)); }
+void Traffic::start(double until) { scheduler_.spawn(generate_arrivals(*this, until)); }
 
 int Traffic::draw_object() {
   const double draw = std::uniform_real_distribution<double>(0, cumulative_.back())(random_);
@@ -51,14 +51,14 @@
   return static_cast<int>(found - cumulative_.begin());
 }
 
-Task<> Traffic::arrive(Traffic& self, double until) {
+Task<> Traffic::generate_arrivals(Traffic& self, double until) {
   std::exponential_distribution<double> gap(self.plan_.rate);
   double due = Scheduler::now();
   while (due < until) {
     co_await self.scheduler_.sleep_until(due);
     const int object = self.draw_object();
-    ++self.counts_.asked;
-    if (self.open_ >= kMostOpen)
+    ++self.counts_.offered;
+    if (self.open_ >= kMaxOpenRequests)
       ++self.counts_.not_started;
     else
       self.scheduler_.spawn(request(self, object));
@@ -68,11 +68,11 @@
 
 Task<> Traffic::request(Traffic& self, int object) {
   ++self.open_;
-  Connection connection{{}, transport::Buffer(kReadRoom)};
+  Connection connection{{}, transport::Buffer(kReadBytes)};
   while (!self.idle_.empty() && !connection.socket.open()) {
     connection = std::move(self.idle_.back());
     self.idle_.pop_back();
-    if (connection.socket.ended()) connection.socket.close();
+    if (connection.socket.closed_by_peer()) connection.socket.close();
   }
   const double until = Scheduler::now() + kDeadline;
   if (!connection.socket.open())
@@ -83,7 +83,7 @@
         "GET /invoke/segment/{:x}/block-0 HTTP/1.1\r\nHost: fleet\r\nX-Correlation-Id: {:016x}\r\n"
         "X-Deadline-Ms: {:.0f}\r\nX-Need-Kb: {}\r\n\r\n",
         object + 1, ++self.numbers_, kDeadline * 1000, kObjectKb);
-    status = co_await self.ask(connection, std::move(text));
+    status = co_await self.send_request(connection, std::move(text));
   }
   TrafficCounts& counts = self.counts_;
   std::uint64_t& count = status == 200   ? counts.served
@@ -95,18 +95,18 @@
   --self.open_;
 }
 
-Task<int> Traffic::ask(Connection& connection, std::string text) {
+Task<int> Traffic::send_request(Connection& connection, std::string text) {
   const double until = Scheduler::now() + kDeadline + kAnswerMargin;
   if (!(co_await connection.socket.write(text, until)).ok()) co_return 0;
   protocol::HttpParser parser(protocol::HttpParser::Message::kResponse, kAnswerBounds);
   AnswerHead head;
   for (;;) {
-    if (!(co_await connection.socket.read(connection.in, kReadRoom, until)).ok()) co_return 0;
+    if (!(co_await connection.socket.read(connection.received, kReadBytes, until)).ok()) co_return 0;
     auto step = protocol::HttpParser::Step::kHead;
     while (step == protocol::HttpParser::Step::kHead) {
-      std::size_t used = 0;
-      step = parser.feed(connection.in.view(), used, head);
-      connection.in.consume(used);
+      std::size_t consumed = 0;
+      step = parser.feed(connection.received.view(), consumed, head);
+      connection.received.consume(consumed);
     }
     if (step == protocol::HttpParser::Step::kDone) co_return head.status;
     if (step != protocol::HttpParser::Step::kMore) co_return 0;
--- a/experiments/rig/fleet.cpp
+++ b/experiments/rig/fleet.cpp
@@ -49,7 +49,7 @@
     std::from_chars(first.data(), first.data() + first.size(), status);
   }
   void header(std::string_view name, std::string_view value) override {
-    if (protocol::same_name(name, "x-pushback-ms"))
+    if (protocol::equal_ignoring_case(name, "x-pushback-ms"))
       retry_after = std::atof(std::string(value).c_str()) / 1000;
   }
   void body(std::string_view) override {}
@@ -264,8 +264,8 @@
 Task<> Fleet::accept_subscribers(Fleet& self) {
   for (;;) {
     auto accepted = co_await self.change_stream_listener_->accept();
-    if (accepted.end == Listener::End::kClosed) co_return;
-    if (accepted.end == Listener::End::kTaken)
+    if (accepted.status == Listener::Status::kClosed) co_return;
+    if (accepted.status == Listener::Status::kAccepted)
       self.scheduler_.spawn(serve_subscriber(self, std::move(accepted.socket)));
   }
 }
@@ -311,8 +311,8 @@
   Listener* listener = node.listener.get();
   for (;;) {
     auto accepted = co_await listener->accept();
-    if (accepted.end == Listener::End::kClosed || incarnation != node.incarnation) co_return;
-    if (accepted.end != Listener::End::kTaken) continue;
+    if (accepted.status == Listener::Status::kClosed || incarnation != node.incarnation) co_return;
+    if (accepted.status != Listener::Status::kAccepted) continue;
     auto socket = std::make_shared<Socket>(std::move(accepted.socket));
     std::erase_if(node.sockets, [](const auto& open_socket) { return open_socket.expired(); });
     node.sockets.push_back(socket);
@@ -513,7 +513,7 @@
                deadline = Scheduler::now() + timeout;
   const std::string subject = fmt::format("d{}", director);
   auto connected = co_await transport::connect(scheduler_, client_relays_[director]->address(), deadline);
-  if (connected.end != transport::ConnectEnd::kUp) co_return 0;
+  if (connected.status != transport::ConnectStatus::kConnected) co_return 0;
   Socket socket = std::move(connected.socket);
   const std::string body = write ? "sorted" : "";
   const std::string text = fmt::format(
@@ -550,7 +550,7 @@
     }
     if (answers == 0)
       history_.add({.at = now(), .type = "unanswered", .request = request, .id = id, .subject = subject});
-    if (io.end == transport::IoEnd::kTimedOut && draw_keeps_open())
+    if (io.status == transport::IoStatus::kTimedOut && draw_keeps_open())
       scheduler_.spawn(keep_open(*this, std::move(socket)));
     break;
   }
--- a/experiments/rig/relay.cpp
+++ b/experiments/rig/relay.cpp
@@ -4,7 +4,7 @@
 
 namespace hareramp::rig {
 
-using transport::IoEnd;
+using transport::IoStatus;
 using transport::kNever;
 using transport::Scheduler;
 using transport::Task;
@@ -32,8 +32,8 @@
 Task<> Relay::accept_connections(Relay& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end != transport::Listener::End::kTaken) continue;
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status != transport::Listener::Status::kAccepted) continue;
     ++self.accepted_connections_;
     auto pair = std::make_shared<Pair>();
     pair->client = std::move(accepted.socket);
@@ -47,7 +47,7 @@
   while (self.to_target.cut) co_await self.scheduler_.sleep_until(Scheduler::now() + kCutPollInterval);
   auto connected =
       co_await transport::connect(self.scheduler_, self.target_, Scheduler::now() + kConnectTimeout);
-  if (connected.end != transport::ConnectEnd::kUp) {
+  if (connected.status != transport::ConnectStatus::kConnected) {
     pair->client.abort();
     co_return;
   }
@@ -68,8 +68,8 @@
     while (direction.cut && from.open() && to.open())
       co_await self.scheduler_.sleep_until(Scheduler::now() + kCutPollInterval);
     if (!from.open() || !to.open()) co_return;
-    if (io.end == IoEnd::kEnded) {
-      to.finish();
+    if (io.status == IoStatus::kEndOfStream) {
+      to.shutdown_write();
       co_return;
     }
     if (!io.ok() || !(co_await to.write(buffer.view(), kNever)).ok()) {
--- a/experiments/rig/world.cpp
+++ b/experiments/rig/world.cpp
@@ -36,8 +36,8 @@
 Task<> Node::accept_connections(Node& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end == transport::Listener::End::kTaken)
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status == transport::Listener::Status::kAccepted)
       self.scheduler_.spawn(serve_connection(self, std::make_shared<Socket>(std::move(accepted.socket))));
   }
 }
@@ -83,8 +83,8 @@
 Task<> IdleChangeStream::accept_connections(IdleChangeStream& self) {
   for (;;) {
     auto accepted = co_await self.listener_.accept();
-    if (accepted.end == transport::Listener::End::kClosed) co_return;
-    if (accepted.end == transport::Listener::End::kTaken)
+    if (accepted.status == transport::Listener::Status::kClosed) co_return;
+    if (accepted.status == transport::Listener::Status::kAccepted)
       self.scheduler_.spawn(serve_connection(self, std::move(accepted.socket)));
   }
 }
@@ -113,7 +113,7 @@
 
 Task<bool> Client::connect() {
   auto connected = co_await transport::connect(scheduler_, director_, Scheduler::now() + 2, &from_);
-  if (connected.end != transport::ConnectEnd::kUp) co_return false;
+  if (connected.status != transport::ConnectStatus::kConnected) co_return false;
   socket_ = std::move(connected.socket);
   ++counts_.connections;
   received_.consume(received_.size());
