--- a/experiments/fleet_size/site.hpp
+++ b/experiments/fleet_size/site.hpp
@@ -14,8 +14,8 @@
 inline constexpr int kZones = 5;            // zones with caches; the director is in the first
 inline constexpr int kNodesPerParent = 50;  // one parent for this many nodes
 inline constexpr int kUsualNodes = 200;     // the size that larger fleets are compared with
-inline constexpr double kUsualWeight =
-    8.0;  // transfers at the full rate that a cache of the usual fleet can carry
+// Transfers at the full rate that a cache of the usual fleet can carry.
+inline constexpr double kUsualWeight = 8.0;
 inline constexpr double kStreamKbPerS = 4600.0;
 inline constexpr double kObjectKb = 46.0;
 
