--- a/experiments/rig/fleet.cpp
+++ b/experiments/rig/fleet.cpp
@@ -79,7 +79,8 @@
 
 Fleet::Fleet(FleetPlan plan) : plan_(std::move(plan)), started_at_(Scheduler::now()), random_(plan_.seed) {
   directory_ = std::filesystem::temp_directory_path() / "hareramp-fleet-XXXXXX";
-  if (!mkdtemp(directory_.data())) throw std::runtime_error("no folder for the fleet");
+  if (!mkdtemp(directory_.data()))
+    throw std::runtime_error("can't create a temporary directory for the fleet");
   const auto add = [&](const std::string& id, const std::string& kind, double capacity) {
     auto node = std::make_unique<Node>(Node{*this, id, kind, capacity});
     node->listener = std::make_unique<Listener>(scheduler_, any_loopback_port(), 512);
@@ -490,7 +491,7 @@
       director = (director + 1) % self.plan_.directors;
     const std::string id = fmt::format("{:012x}{:04x}", number, retry);
     double retry_after = 0;
-    const int status = co_await self.ask(director, id, name, write, object, retry, retry_after);
+    const int status = co_await self.send_request(director, id, name, write, object, retry, retry_after);
     if (status != 503 && status != 0) break;  // a final answer or a failure: no retry
     if (status == 0 && write) break;          // the write may have run
     const double pause = self.draw_uniform() < self.plan_.honors_retry_after ? retry_after : 0.01;
@@ -507,8 +508,8 @@
 }
 
 // The status of the answer, 0 without one.
-Task<int> Fleet::ask(int director, const std::string& id, const std::string& request, bool write,
-                     std::uint64_t object, int retry, double& retry_after) {
+Task<int> Fleet::send_request(int director, const std::string& id, const std::string& request, bool write,
+                              std::uint64_t object, int retry, double& retry_after) {
   const double timeout = write ? plan_.write_deadline : plan_.read_deadline,
                deadline = Scheduler::now() + timeout;
   const std::string subject = fmt::format("d{}", director);
--- a/experiments/rig/fleet.hpp
+++ b/experiments/rig/fleet.hpp
@@ -89,8 +89,8 @@
   static transport::Task<> request(Fleet& self, std::uint64_t number);
   bool draw_keeps_open();
   static transport::Task<> keep_open(Fleet& self, transport::Socket socket);
-  transport::Task<int> ask(int director, const std::string& id, const std::string& request, bool write,
-                           std::uint64_t object, int retry, double& retry_after);
+  transport::Task<int> send_request(int director, const std::string& id, const std::string& request,
+                                    bool write, std::uint64_t object, int retry, double& retry_after);
   void serve(Node& node, std::shared_ptr<transport::Socket> socket, std::string id, std::string fields);
   void fill(Node& source, std::uint64_t object, bool cache_only, std::function<void(Fill)> done);
   std::optional<double> admit(Node& node);  // time of completion; none if the queue is too long
--- a/experiments/rig/history.hpp
+++ b/experiments/rig/history.hpp
@@ -11,8 +11,8 @@
 
 struct Event {
   double at = 0;  // s since the start
-  std::string type =
-      {};  // ask, answer, unanswered, attempt, run, origin, fallen, told, or the kind of a fault
+  // ask, answer, unanswered, attempt, run, origin, fallen, told, or the kind of a fault
+  std::string type = {};
   std::string request = {};  // the client's number of the request, the same for its retries
   std::string id = {};       // of the client attempt
   std::string subject = {};  // the director for what clients observed, else the node
