--- a/experiments/fleet_size/bounds.cpp
+++ b/experiments/fleet_size/bounds.cpp
@@ -2,7 +2,7 @@
 
 namespace hareramp::fleet_size {
 
-std::vector<Finding> hold_against(const Needs& usual, const Needs& large, int nodes) {
+std::vector<Finding> compare_with_usual(const ResourceUse& usual, const ResourceUse& large, int nodes) {
   const double thousands = nodes / 1000.0;
   return {
       {"cpu_s", large.cpu_s, 1.4 * usual.cpu_s + 0.02 + 0.03 * thousands},
--- a/experiments/fleet_size/change_source.cpp
+++ b/experiments/fleet_size/change_source.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 constexpr int kBacklog = 16;
-constexpr int kFirstChange = 2;        // event 1 is the whole list
-constexpr double kLookEvery = 0.05;    // s between looks for new events
-constexpr double kCommentEvery = 1.0;  // s, as the protocol page has it
+constexpr int kFirstChange = 2;           // event 1 is the full node list
+constexpr double kPollInterval = 0.05;    // s between checks for new events
+constexpr double kCommentInterval = 1.0;  // s, as the protocol specifies
 constexpr double kWriteTimeout = 10.0;
 }  // namespace
 
@@ -46,7 +46,7 @@
   std::string text = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
   for (;;) {
     for (; next < self.events_.size(); ++next) text += self.events_[next];
-    if (Scheduler::now() - commented_at >= kCommentEvery) {
+    if (Scheduler::now() - commented_at >= kCommentInterval) {
       commented_at = Scheduler::now();
       text += ":\n\n";
     }
@@ -54,7 +54,7 @@
     self.bytes_written_ += io.bytes;
     if (!io.ok()) co_return;
     text.clear();
-    co_await self.scheduler_.sleep_until(Scheduler::now() + kLookEvery);
+    co_await self.scheduler_.sleep_until(Scheduler::now() + kPollInterval);
   }
 }
 
--- a/experiments/fleet_size/change_source.hpp
+++ b/experiments/fleet_size/change_source.hpp
@@ -1,5 +1,5 @@
-// Stand-in for the source of the change stream: it writes node changes to whoever subscribes and counts the
-// bytes. The whole list is event 1, which subscribers know already.
+// Stand-in for the source of the change stream: it writes node changes to its subscribers and counts the
+// bytes. Event 1 is the full node list, which subscribers already have from their configuration.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
   explicit ChangeSource(transport::Scheduler& scheduler);
 
   std::string address() const { return listener_.address().text(); }
-  // entry: of the list, as the stream has it.
+  // entry: an entry of the node list in the format of the change stream.
   void append_node_change(const std::string& entry);
   std::uint64_t bytes_written() const { return bytes_written_; }
 
@@ -26,7 +26,7 @@
 
   transport::Scheduler& scheduler_;
   transport::Listener listener_;
-  std::vector<std::string> events_;  // from event 2 on, as written
+  std::vector<std::string> events_;  // from event 2 on, in the format of the stream
   std::uint64_t bytes_written_ = 0;
 };
 
--- a/experiments/fleet_size/node_stand_ins.hpp
+++ b/experiments/fleet_size/node_stand_ins.hpp
@@ -1,6 +1,7 @@
-// Stand-ins for all nodes of a site behind one listener: each address of 127/8 at its port is a node. A cache
-// answers with what it holds, fills what it is told to and holds it from then on, and takes longer for each
-// transfer past what it bears at once. No model of a real node's store: nothing is ever dropped.
+// Stand-ins for all nodes of a site behind one listener; each node has its own address in 127/8, all at the
+// listener's port. A cache answers with the objects that it holds, fills others from the source named in the
+// command and keeps them, and gets slower when more transfers are active than its weight allows. The store of
+// a real node is not modelled: objects are never evicted.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +18,11 @@
 
 namespace hareramp::fleet_size {
 
-// What the nodes were asked for, since their start.
+// What all nodes together were asked for, since their start.
 struct NodeUse {
   std::uint64_t connections = 0;  // accepted
   std::uint64_t hits = 0, fills = 0, origin_fetches = 0;
-  std::uint64_t lookups_absent = 0;  // asked for what it holds, and held nothing
+  std::uint64_t lookup_misses = 0;  // requests without a source for a fill, for an object that was not held
 };
 
 class NodeStandIns {
@@ -30,12 +31,12 @@
 
   std::uint16_t port() const { return port_; }
   const NodeUse& use() const { return use_; }
-  std::size_t nodes_connected() const { return connected_.size(); }  // ever
+  std::size_t nodes_connected() const { return connected_.size(); }  // since the start
 
  private:
   struct State {
-    std::unordered_set<std::string> held;  // names of objects
-    int transfers = 0;                     // in hand
+    std::unordered_set<std::string> objects;  // by name
+    int transfers = 0;                        // in progress
   };
   struct Reply {
     std::string_view word, reason;
--- a/experiments/fleet_size/site.cpp
+++ b/experiments/fleet_size/site.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int kSecondByte = 77;  // nodes have 127.77.x.y
+constexpr int kSecondByte = 77;  // nodes have addresses 127.77.x.y
 constexpr int kNodesPerThirdByte = 250;
 constexpr int kDescriptors = 512;  // of the director
 constexpr int kMemoryMb = 48;
@@ -43,7 +43,7 @@
   for (int cache = 0; static_cast<int>(nodes_.size()) < nodes; ++cache) {
     const int zone = cache % kZones;
     nodes_.push_back({fmt::format("cache-{:04}", cache), zone_name(zone), NodeKind::kCache, weight});
-    if (zone == 0) ++own_caches_;
+    if (zone == 0) ++own_zone_caches_;
   }
 }
 
