--- a/experiments/capacity/children.hpp
+++ b/experiments/capacity/children.hpp
@@ -1,5 +1,5 @@
-// The processes that an experiment plays with: the source, relays, real directors and simulated ones. Each
-// ends with its object, by its id.
+// The child processes of an experiment: the source of the change stream, relays, real directors and simulated
+// directors. The destructor of each object kills its process by its process id.
 #pragma once
 
 #include <functional>
@@ -16,36 +16,38 @@
 
 namespace hareramp::capacity {
 
+// Options of one measurement.
 struct Setup {
-  std::string self;     // this program, for its child processes
-  std::string program;  // the director
-  std::string command;  // written into the table
-  std::vector<double> sizes;
-  double seconds = 5;  // of each span in which processor time and bytes are counted
-  int processes = 3;   // that share simulated directors among them
+  std::string self;           // path of this program, to start child processes with
+  std::string program;        // path of the hareramp executable
+  std::string command;        // command line, written to the first line of the table
+  std::vector<double> sizes;  // values of the measured variable; one row each
+  double seconds = 5;         // length of each interval in which processor time and bytes are counted
+  int processes = 3;          // processes that the simulated directors are distributed over
   int nodes = 460;
   double rate = 100;  // purges/s
 };
 
-// Blocks this process.
+// Blocks this process for the given time.
 void pause(double seconds);
-// Throws std::runtime_error naming what was waited for once that takes too long.
-void wait_until(const std::string& what, const std::function<bool()>& holds);
+// Blocks until the condition holds. Throws std::runtime_error with the description on timeout.
+void wait_until(const std::string& description, const std::function<bool()>& condition);
 
-// A folder that goes with its object.
-class Folder {
+// A temporary directory; the destructor removes it with its files.
+class TemporaryDirectory {
  public:
-  Folder();
-  ~Folder();
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
-  // The file's path.
+  TemporaryDirectory();
+  ~TemporaryDirectory();
+  TemporaryDirectory(const TemporaryDirectory&) = delete;
+  TemporaryDirectory& operator=(const TemporaryDirectory&) = delete;
+  // Writes a file and returns its path.
   std::string write(const std::string& name, const std::string& text) const;
 
  private:
   std::string path_;
 };
 
+// Command line of a source process; the fields are those of SourceRole.
 struct SourceOptions {
   int nodes = 460;
   double rate = 0;
@@ -57,9 +59,10 @@
   std::string list = {};
 };
 
-class Source {
+// A child process that serves the change stream (run_source).
+class SourceProcess {
  public:
-  Source(const Setup& setup, const SourceOptions& options);
+  SourceProcess(const Setup& setup, const SourceOptions& options);
   const std::string& address() const { return address_; }
   rig::Process& process() { return process_; }
   ProcessUsage usage() const { return usage_of(process_.id()); }
@@ -70,20 +73,21 @@
   std::string address_;
 };
 
-// What a process of ours prints at SIGUSR1.
+// The counters that a hareramp process prints on SIGUSR1, by name.
 using PrintedCounters = std::map<std::string, std::uint64_t>;
 
-// hareramp relay.
+// Configuration of a relay process.
 struct RelayOptions {
   std::string listen;
   std::vector<std::string> sources;
-  bool compressed = false;  // asks its sources for gzip
+  bool compressed = false;  // requests gzip from its sources
   int window_kb = 1024;
-  int subscribers_most = 5000;
+  int max_subscribers = 5000;
 };
+// A child process that runs `hareramp relay`.
 class RelayProcess {
  public:
-  RelayProcess(const Setup& setup, const Folder& folder, const RelayOptions& options);
+  RelayProcess(const Setup& setup, const TemporaryDirectory& folder, const RelayOptions& options);
   const std::string& address() const { return address_; }
   rig::Process& process() { return *process_; }
   ProcessUsage usage() const { return usage_of(process_->id()); }
@@ -93,43 +97,47 @@
   std::string address_;
   std::unique_ptr<rig::Process> process_;
 };
-// An address on loopback that no other experiment uses; place tells those of one experiment apart.
-std::string own_address(int place);
+// A loopback address derived from the process id, so that concurrent experiments use different ones; index
+// distinguishes the addresses of one experiment.
+std::string loopback_address(int index);
 
-// hareramp serve.
+// A child process that runs `hareramp serve`.
 class RealDirector {
  public:
-  RealDirector(const Setup& setup, const Folder& folder, DirectorPlan plan, int place);
-  transport::Address address() const { return *transport::Address::parse(plan_.listen); }
-  double age() const;  // s since its start
+  RealDirector(const Setup& setup, const TemporaryDirectory& folder, DirectorParameters parameters,
+               int index);
+  transport::Address address() const { return *transport::Address::parse(parameters_.listen); }
+  double uptime() const;  // s since its start
   ProcessUsage usage() const { return usage_of(process_->id()); }
   pid_t id() const { return process_->id(); }
-  // Another change stream, by a new configuration and SIGHUP.
-  void follow(const std::string& change_stream);
-  // Asks for the counters and returns those printed before, without waiting.
-  PrintedCounters counters_so_far();
+  // Switches the director to another change stream by a new configuration file and SIGHUP.
+  void switch_change_stream(const std::string& change_stream);
+  // Requests the counters and returns the last ones already printed, without waiting for the new ones.
+  PrintedCounters last_printed_counters();
+  // Requests the counters and waits for them.
   PrintedCounters counters();
 
  private:
-  const Folder& folder_;
-  DirectorPlan plan_;
+  const TemporaryDirectory& folder_;
+  DirectorParameters parameters_;
   std::string file_name_;
-  double began_ = 0;
+  double started_at_ = 0;
   std::unique_ptr<rig::Process> process_;
 };
 
-// Simulated directors, shared out among processes.
+// How many simulated directors to start, and when they count as ready.
 struct DirectorsOptions {
   int count = 1;
-  long long until = 1;  // ready once told this event
+  long long until = 1;  // number of the event after which a director is ready
   bool compressed = false;
-  double spread_s = 0;  // over which they start
+  double spread_s = 0;  // interval over which their starts are spread evenly
 };
+// Simulated directors, distributed over several child processes (run_directors).
 class SimulatedDirectors {
  public:
-  // source: addresses of the change stream, separated by commas.
+  // source: comma-separated addresses of the change stream.
   SimulatedDirectors(const Setup& setup, const std::string& source, const DirectorsOptions& options);
-  // Seconds until the last was ready.
+  // Waits until all are ready; returns the seconds that the slowest process needed.
   double wait_ready();
   void send(int signal);
   double processor_s() const;
@@ -141,10 +149,12 @@
   std::vector<std::unique_ptr<rig::Process>> processes_;
 };
 
+// Maximum and sum of one field over the reports.
 double largest(const std::vector<nlohmann::json>& reports, const char* name);
 double sum(const std::vector<nlohmann::json>& reports, const char* name);
 
-// Begins the purges at the source, and the watch for them; returns once they have begun.
-void begin_purges(Source& source, SimulatedDirectors& directors);
+// Starts the purges at the source and the measurement of their latency in the directors; returns once both
+// have begun.
+void begin_purges(SourceProcess& source, SimulatedDirectors& directors);
 
 }  // namespace hareramp::capacity
--- a/experiments/capacity/cold_quota.hpp
+++ b/experiments/capacity/cold_quota.hpp
@@ -1,15 +1,16 @@
-// What the decision module lets one of many directors send to a parent that has just started, where the quota
-// is split evenly among all of them.
+// How many requests the decision module lets one of many directors send to a parent that has just started, if
+// the parent's quota is split evenly among all directors.
 #pragma once
 
 namespace hareramp::capacity {
 
 struct ColdQuota {
-  double attempts_each =
-      0;                 // fills sent to the parent by one director in the time in which it could fall over
-  double limit_all = 0;  // that it bears in that time from all directors together, as the settings have it
+  // Fills that one director sends to the parent within the interval in which an overload makes it fail.
+  double attempts_each = 0;
+  // Fills that the parent can serve in that interval for all directors together, according to the settings.
+  double limit_all = 0;
 };
-// One director of so many, with more requests than its part.
+// Measures one of the given number of directors, offered more requests than its share of the quota.
 ColdQuota measure_cold_quota(int directors);
 
 }  // namespace hareramp::capacity
--- a/experiments/capacity/faults.cpp
+++ b/experiments/capacity/faults.cpp
@@ -14,75 +14,77 @@
 
 namespace {
 
-constexpr int kDirectors = 60, kRegion = 346;
-constexpr int kNarrowWindowKb = 64, kWideWindowKb = 1024;  // some 5 s and 80 s at 100 purges/s
-constexpr double kPurgeLifetime = 10;                      // s, the operator's file's own default
-constexpr double kBefore = 4, kAfter = 14;                 // s of purges before a fault and behind its end
+constexpr int kDirectors = 60, kRegionDirectors = 346;
+constexpr int kNarrowWindowKb = 64, kWideWindowKb = 1024;  // about 5 s and 80 s at 100 purges/s
+constexpr double kPurgeLifetime = 10;                      // s, the default of the operator's file
+constexpr double kBeforeFault = 4, kAfterFault = 14;       // s of purges before a fault and after it ends
 constexpr double kSettle = 4;                              // s for the last purges to arrive
-constexpr double kBackWithin = 6;                          // s: the longest pause between tries, and one
-constexpr double kStopped = 10, kCut = 8, kRestartPause = 5, kRegionCutFor = 20;
+constexpr double kReconnectWithin = 6;                     // s: the longest retry delay plus 1 s
+constexpr double kStopDuration = 10, kCutDuration = 8, kRestartDelay = 5, kRegionCutDuration = 20;  // s
 constexpr long long kHourOfPurges = 360'000;
-constexpr double kMemoryOverRest = 24;  // MB, for two windows and what is on its way
+constexpr double kMemoryOverRest = 24;  // MB, for two windows and data in transit
 
-// The rig: forwarding paths from directors to each relay run in this process.
-class FaultRig {
+// The processes under test. The directors reach each relay through a proxy in this process, which can block
+// the data of either direction.
+class FaultExperiment {
  public:
-  FaultRig(const Setup& setup, Fault fault)
+  FaultExperiment(const Setup& setup, Fault fault)
       : setup_(setup),
         fault_(fault),
-        source_address_(own_address(2)),
-        source_(std::make_unique<Source>(setup, source_options(1))) {
-    for (int place = 0; place < 2; ++place) start_relay(place);
-    for (int place = 0; place < 2; ++place)
+        source_address_(loopback_address(2)),
+        source_(std::make_unique<SourceProcess>(setup, source_options(1))) {
+    for (int index = 0; index < 2; ++index) start_relay(index);
+    for (int index = 0; index < 2; ++index)
       paths_.push_back(
-          std::make_unique<rig::Relay>(scheduler_, *transport::Address::parse(own_address(place))));
+          std::make_unique<rig::Relay>(scheduler_, *transport::Address::parse(loopback_address(index))));
     Setup with_paths = setup;
     directors_ = std::make_unique<SimulatedDirectors>(
         with_paths, paths_[0]->address().text() + "," + paths_[1]->address().text(),
-        DirectorsOptions{.count = fault == Fault::kRegionCut ? kRegion : kDirectors, .compressed = true});
+        DirectorsOptions{.count = fault == Fault::kRegionCut ? kRegionDirectors : kDirectors,
+                         .compressed = true});
   }
 
-  int directors() const { return fault_ == Fault::kRegionCut ? kRegion : kDirectors; }
-  void play(double seconds) {
+  int directors() const { return fault_ == Fault::kRegionCut ? kRegionDirectors : kDirectors; }
+  void run_for(double seconds) {
     scheduler_.at(Scheduler::now() + seconds, [this] { scheduler_.stop(); });
     scheduler_.run();
   }
   void begin() {
-    play(kBefore);  // all have their list
+    run_for(kBeforeFault);  // until all directors have the node list
     begin_purges(*source_, *directors_);
-    play(kBefore);
+    run_for(kBeforeFault);
     rest_mb_ = relays_[0]->usage().resident_mb;
   }
-  void break_and_heal() {
+  void inject_fault() {
     switch (fault_) {
       case Fault::kNone:
         break;
       case Fault::kRelayKilled:
         relays_[0]->process().send(SIGKILL);
-        play(kRestartPause);
+        run_for(kRestartDelay);
         start_relay(0);
         break;
       case Fault::kRelayStopped:
         relays_[0]->process().send(SIGSTOP);
-        play(kStopped);
+        run_for(kStopDuration);
         relays_[0]->process().send(SIGCONT);
         break;
       case Fault::kOneSidedCut:
         paths_[0]->back.cut = true;
-        play(kCut);
+        run_for(kCutDuration);
         paths_[0]->back.cut = false;
         break;
       case Fault::kSourceRestarted:
         restart_source();
         break;
       case Fault::kSilentSubscribers:
-        subscribe_silently();
-        play(kCut);
+        add_silent_subscribers();
+        run_for(kCutDuration);
         break;
       case Fault::kRelaysKilledInTurn:
         for (int turn = 0; turn < 4; ++turn) {
           relays_[turn % 2]->process().send(SIGKILL);
-          play(kRestartPause);
+          run_for(kRestartDelay);
           start_relay(turn % 2);
         }
         break;
@@ -91,22 +93,24 @@
         break;
     }
   }
-  std::vector<double> end() {
-    play(kAfter);
+  std::vector<double> finish() {
+    run_for(kAfterFault);
     source_->process().send(SIGHUP);
-    play(kSettle);
+    run_for(kSettle);
     const auto reports = directors_->reports();
     const double newest = largest(reports, "newest");
-    const double issued = static_cast<double>(issued_before_) + issued_here();
-    // Of what is missing, that which was over before the cut healed is let go; it has no number past that.
+    const double issued = static_cast<double>(issued_before_) + issued_by_source();
+    // Purges whose lifetime ended before the cut ended are not counted as missing. The missing ones are all
+    // of this kind if none has a number above the last one that lapsed.
     const double lapsed = static_cast<double>(lapsed_);
     const bool all_lapsed = largest(reports, "missing_last") <= lapsed;
     const double missing = all_lapsed ? 0 : sum(reports, "missing");
     double relay_mb = 0;
     for (const auto& relay : relays_) relay_mb = std::max(relay_mb, relay->usage().peak_mb);
     const double behind = issued - newest;
-    const int broken = (missing > 0) + (sum(reports, "twice") > 0) + (sum(reports, "out_of_order") > 0) +
-                       (behind != 0) + (relay_mb > rest_mb_ + kMemoryOverRest);
+    const int failed_checks = (missing > 0) + (sum(reports, "twice") > 0) +
+                              (sum(reports, "out_of_order") > 0) + (behind != 0) +
+                              (relay_mb > rest_mb_ + kMemoryOverRest);
     return {static_cast<double>(fault_),
             static_cast<double>(directors()),
             issued,
@@ -120,7 +124,7 @@
             sum(reports, "connected"),
             directors_->peak_mb() / directors(),
             relay_mb,
-            static_cast<double>(broken)};
+            static_cast<double>(failed_checks)};
   }
 
  private:
@@ -136,64 +140,66 @@
     }
     return options;
   }
-  void start_relay(int place) {
-    relays_[place].reset();
-    relays_[place] = std::make_unique<RelayProcess>(
+  void start_relay(int index) {
+    relays_[index].reset();
+    relays_[index] = std::make_unique<RelayProcess>(
         setup_, folder_,
-        RelayOptions{.listen = own_address(place),
+        RelayOptions{.listen = loopback_address(index),
                      .sources = {source_address_},
-                     .window_kb = place == 0 ? kNarrowWindowKb : kWideWindowKb});
+                     .window_kb = index == 0 ? kNarrowWindowKb : kWideWindowKb});
+  }
+  double issued_by_source() {
+    return source_->report()["last"].get<double>() - 1 - static_cast<double>(backlog_);
   }
-  double issued_here() { return source_->report()["last"].get<double>() - 1 - static_cast<double>(backlog_); }
   void restart_source() {
     source_->process().send(SIGHUP);
-    play(1);
-    issued_before_ = static_cast<std::uint64_t>(issued_here());
+    run_for(1);
+    issued_before_ = static_cast<std::uint64_t>(issued_by_source());
     source_.reset();
-    play(1);
-    source_ = std::make_unique<Source>(setup_, source_options(issued_before_ + 1));
-    play(kSettle);  // relays follow again
+    run_for(1);
+    source_ = std::make_unique<SourceProcess>(setup_, source_options(issued_before_ + 1));
+    run_for(kSettle);  // until the relays are subscribed again
     source_->process().send(SIGUSR1);
   }
-  void subscribe_silently() {
-    const auto dial = [](FaultRig& self, transport::Address to) -> transport::Task<> {
+  void add_silent_subscribers() {
+    const auto subscribe = [](FaultExperiment& self, transport::Address to) -> transport::Task<> {
       auto connected = co_await transport::connect(self.scheduler_, to, Scheduler::now() + 5);
       auto socket = std::make_shared<transport::Socket>(std::move(connected.socket));
       co_await socket->write("GET /changes HTTP/1.1\r\nHost: r\r\nLast-Event-ID: 0\r\n\r\n",
                              Scheduler::now() + 5);
-      self.silent_.push_back(socket);
+      self.silent_sockets_.push_back(socket);
     };
-    constexpr int kSilent = 50;
-    for (int number = 0; number < kSilent; ++number)
-      scheduler_.spawn(dial(*this, *transport::Address::parse(own_address(number % 2))));
+    constexpr int kSilentConnections = 50;
+    for (int number = 0; number < kSilentConnections; ++number)
+      scheduler_.spawn(subscribe(*this, *transport::Address::parse(loopback_address(number % 2))));
   }
   void cut_region() {
     for (const auto& path : paths_) path->there.cut = path->back.cut = true;
     for (const auto& path : paths_) path->reset();
     source_->process().send(SIGALRM);
     backlog_ = kHourOfPurges;
-    play(kRegionCutFor);
-    // Directors are back within the longest pause between tries. A second of grace on either side: a purge
-    // that lapses just then may be told or not.
+    run_for(kRegionCutDuration);
+    // Directors reconnect within the longest retry delay. One second is allowed on either side, since a purge
+    // whose lifetime ends around the reconnect may or may not be delivered.
     lapsed_ = static_cast<std::uint64_t>(
-        std::max(0.0, issued_here() + (kBackWithin - kPurgeLifetime + 1) * setup_.rate));
+        std::max(0.0, issued_by_source() + (kReconnectWithin - kPurgeLifetime + 1) * setup_.rate));
     for (const auto& path : paths_) path->there.cut = path->back.cut = false;
     for (const auto& path : paths_) path->reset();
   }
 
   const Setup& setup_;
   Fault fault_;
-  Folder folder_;
+  TemporaryDirectory folder_;
   Scheduler scheduler_;
   std::string source_address_;
-  std::unique_ptr<Source> source_;
+  std::unique_ptr<SourceProcess> source_;
   std::unique_ptr<RelayProcess> relays_[2];
   std::vector<std::unique_ptr<rig::Relay>> paths_;
   std::unique_ptr<SimulatedDirectors> directors_;
-  std::vector<std::shared_ptr<transport::Socket>> silent_;
-  std::uint64_t issued_before_ = 0;  // by a source that has ended
-  long long backlog_ = 0;            // events of the source that are not watched
-  std::uint64_t lapsed_ = 0;         // purges up to this one were over when the cut healed
+  std::vector<std::shared_ptr<transport::Socket>> silent_sockets_;
+  std::uint64_t issued_before_ = 0;  // purges issued by the source before its restart
+  long long backlog_ = 0;            // backlog purges, which the recorders ignore
+  std::uint64_t lapsed_ = 0;         // the lifetime of purges up to this number had ended when the cut ended
   double rest_mb_ = 0;
 };
 
@@ -206,10 +212,10 @@
               {"fault", "directors", "issued", "behind", "missing", "lapsed_unheard", "twice", "out_of_order",
                "late", "latest_s", "connections", "director_peak_mb", "relay_peak_mb", "bounds_broken"});
   for (const double fault : setup.sizes) {
-    FaultRig rig(setup, static_cast<Fault>(static_cast<int>(fault)));
-    rig.begin();
-    rig.break_and_heal();
-    table.add(rig.end());
+    FaultExperiment experiment(setup, static_cast<Fault>(static_cast<int>(fault)));
+    experiment.begin();
+    experiment.inject_fault();
+    table.add(experiment.finish());
   }
   return table;
 }
--- a/experiments/capacity/fit.hpp
+++ b/experiments/capacity/fit.hpp
@@ -1,4 +1,4 @@
-// A straight line through measured points, by least squares.
+// Linear least-squares fit of measured points.
 #pragma once
 
 #include <utility>
@@ -8,7 +8,7 @@
 
 struct Line {
   double slope = 0, intercept = 0;
-  double r_squared = 0;  // share of the variance that the line explains
+  double r_squared = 0;  // fraction of the variance explained by the line
   double at(double x) const { return intercept + slope * x; }
 };
 // At least two points with different x.
--- a/experiments/capacity/load.cpp
+++ b/experiments/capacity/load.cpp
@@ -9,14 +9,14 @@
 using transport::Scheduler;
 
 namespace {
-constexpr double kLookEvery = 0.01;   // s
-constexpr double kLongestAnswer = 5;  // s
-constexpr int kLiveNodes = 4;
+constexpr double kPollInterval = 0.01;  // s
+constexpr double kAnswerTimeout = 5;    // s
+constexpr int kMockNodes = 4;
 constexpr std::size_t kNoteBytes = 100;
 }  // namespace
 
-LiveNodes::LiveNodes(Scheduler& scheduler, std::size_t body_bytes) {
-  for (int number = 0; number < kLiveNodes; ++number) {
+MockNodes::MockNodes(Scheduler& scheduler, std::size_t body_bytes) {
+  for (int number = 0; number < kMockNodes; ++number) {
     const std::map<std::string, std::size_t> sizes = {{"segment", body_bytes}, {"note", kNoteBytes}};
     nodes.push_back(std::make_unique<rig::Node>(scheduler, sizes, rig::NodeWays{}, number + 1));
     entries += fmt::format(
@@ -25,39 +25,41 @@
   }
 }
 
-SteadyLoad::SteadyLoad(Scheduler& scheduler, transport::Address director, double rate, int clients)
+OpenLoopLoad::OpenLoopLoad(Scheduler& scheduler, transport::Address director, double rate, int clients)
     : scheduler_(scheduler), rate_(rate) {
-  const auto from = *transport::Address::parse("127.0.0.1:0");
+  const auto local_address = *transport::Address::parse("127.0.0.1:0");
   for (int number = 0; number < clients; ++number)
-    clients_.push_back(std::make_unique<rig::Client>(scheduler, director, from, "segment", false,
+    clients_.push_back(std::make_unique<rig::Client>(scheduler, director, local_address, "segment", false,
                                                      rig::Reading{}, static_cast<std::uint64_t>(number)));
 }
 
-std::vector<double> SteadyLoad::play(double seconds, const std::function<bool()>& over) {
+std::vector<double> OpenLoopLoad::run_for(double seconds, const std::function<bool()>& finished) {
   for (auto& client : clients_) client->latencies().clear();
-  scheduler_.spawn(arrivals(*this, Scheduler::now() + seconds, over));
+  scheduler_.spawn(send_requests(*this, Scheduler::now() + seconds, finished));
   scheduler_.run();
-  std::vector<double> all;
-  for (auto& client : clients_) all.insert(all.end(), client->latencies().begin(), client->latencies().end());
-  std::sort(all.begin(), all.end());
-  return all;
+  std::vector<double> sorted_latencies;
+  for (auto& client : clients_)
+    sorted_latencies.insert(sorted_latencies.end(), client->latencies().begin(), client->latencies().end());
+  std::sort(sorted_latencies.begin(), sorted_latencies.end());
+  return sorted_latencies;
 }
 
-transport::Task<> SteadyLoad::arrivals(SteadyLoad& self, double until, std::function<bool()> over) {
+transport::Task<> OpenLoopLoad::send_requests(OpenLoopLoad& self, double end_time,
+                                              std::function<bool()> finished) {
   const auto busy = [](const auto& client) { return client->busy(); };
   double due = Scheduler::now();
-  while (due < until && !(over && over())) {
+  while (due < end_time && !(finished && finished())) {
     due += 1 / self.rate_;
     co_await self.scheduler_.sleep_until(due);
-    const auto free = std::find_if_not(self.clients_.begin(), self.clients_.end(), busy);
-    if (free == self.clients_.end())
-      ++self.not_asked_;
+    const auto idle_client = std::find_if_not(self.clients_.begin(), self.clients_.end(), busy);
+    if (idle_client == self.clients_.end())
+      ++self.unsent_;
     else
-      (*free)->request(due);
+      (*idle_client)->request(due);
   }
-  const double most = Scheduler::now() + kLongestAnswer;
-  while (Scheduler::now() < most && std::any_of(self.clients_.begin(), self.clients_.end(), busy))
-    co_await self.scheduler_.sleep_until(Scheduler::now() + kLookEvery);
+  const double deadline = Scheduler::now() + kAnswerTimeout;
+  while (Scheduler::now() < deadline && std::any_of(self.clients_.begin(), self.clients_.end(), busy))
+    co_await self.scheduler_.sleep_until(Scheduler::now() + kPollInterval);
   self.scheduler_.stop();
 }
 
--- a/experiments/capacity/load.hpp
+++ b/experiments/capacity/load.hpp
@@ -1,4 +1,4 @@
-// Requests at a steady rate on one director, and nodes that answer them.
+// Load generator: sends requests to one director at a constant rate; nodes that answer its requests.
 #pragma once
 
 #include <functional>
@@ -11,32 +11,32 @@
 
 namespace hareramp::capacity {
 
-// Stand-in nodes, as entries of the list: an origin and three caches.
-struct LiveNodes {
-  LiveNodes(transport::Scheduler& scheduler, std::size_t body_bytes);
+// Mock nodes that answer requests, with their entries for the node list: an origin and three caches.
+struct MockNodes {
+  MockNodes(transport::Scheduler& scheduler, std::size_t body_bytes);
   std::vector<std::unique_ptr<rig::Node>> nodes;
   std::string entries;
 };
 
-// Clients that send reads when they are due, whether or not earlier ones were answered.
-class SteadyLoad {
+// Open-loop load: each read is sent at its scheduled time, whether or not earlier ones were answered.
+class OpenLoopLoad {
  public:
-  SteadyLoad(transport::Scheduler& scheduler, transport::Address director, double rate, int clients);
-  // Plays until the time is over or something holds, and until what was asked is answered; returns the
-  // latencies in that time in seconds, sorted.
-  std::vector<double> play(double seconds, const std::function<bool()>& over = {});
-  // Requests that were due while every client waited for an answer.
-  std::uint64_t not_asked() const { return not_asked_; }
+  OpenLoopLoad(transport::Scheduler& scheduler, transport::Address director, double rate, int clients);
+  // Sends requests until the time has passed or `finished` returns true, then waits for outstanding answers.
+  // Returns the latencies of this call in seconds, sorted.
+  std::vector<double> run_for(double seconds, const std::function<bool()>& finished = {});
+  // Requests that were not sent because every client was waiting for an answer when they were due.
+  std::uint64_t unsent() const { return unsent_; }
 
  private:
-  static transport::Task<> arrivals(SteadyLoad& self, double until, std::function<bool()> over);
+  static transport::Task<> send_requests(OpenLoopLoad& self, double end_time, std::function<bool()> finished);
   transport::Scheduler& scheduler_;
   double rate_;
-  std::uint64_t not_asked_ = 0;
+  std::uint64_t unsent_ = 0;
   std::vector<std::unique_ptr<rig::Client>> clients_;
 };
 
-// Of sorted values; 0 where there are none.
+// The percentile (share: 0 to 1) of sorted values; 0 if there are none.
 double percentile(const std::vector<double>& sorted, double share);
 
 }  // namespace hareramp::capacity
--- a/experiments/capacity/main.cpp
+++ b/experiments/capacity/main.cpp
@@ -1,6 +1,6 @@
-// build/capacity_experiment MEASUREMENT [--sizes A,B,...] [--out FILE]: measures one part against the size to
-// design for and writes a table; without a name it lists the measurements. "page" makes the figures of
-// docs/CAPACITY.md anew from the tables. "source" and "directors" are the roles of its child processes.
+// build/capacity_experiment MEASUREMENT [--sizes A,B,...] [--out FILE]: runs one measurement of the capacity
+// experiment and writes a table; without a name it lists the measurements. "page" regenerates the figures of
+// docs/CAPACITY.md from the tables. "source" and "directors" are the roles of its child processes.
 #include <fmt/format.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -19,7 +19,8 @@
 
 namespace {
 
-// One process holds a socket for each simulated director or subscriber.
+// Sets the descriptor limit to the maximum allowed: one process holds a socket for each simulated director or
+// subscriber.
 void raise_descriptor_limit() {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
@@ -27,16 +28,16 @@
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-std::vector<double> numbers(const std::string& text) {
-  std::vector<double> all;
-  std::istringstream words(text);
-  for (std::string word; std::getline(words, word, ',');) all.push_back(std::stod(word));
-  return all;
+std::vector<double> parse_numbers(const std::string& text) {
+  std::vector<double> values;
+  std::istringstream stream(text);
+  for (std::string value; std::getline(stream, value, ',');) values.push_back(std::stod(value));
+  return values;
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   namespace po = boost::program_options;
   signal(SIGPIPE, SIG_IGN);
   raise_descriptor_limit();
@@ -46,36 +47,40 @@
   Setup setup;
   setup.self = std::filesystem::read_symlink("/proc/self/exe");
   po::options_description options("capacity_experiment NAME");
-  options.add_options()("help", "print this")("name", po::value(&role), "a measurement, or a child's role")(
-      "sizes", po::value(&sizes), "in place of the usual ones, separated by commas")(
-      "out", po::value(&out), "the table's file; without it the table is printed")(
+  options.add_options()("help", "print this")("name", po::value(&role),
+                                              "a measurement, or the role of a child process")(
+      "sizes", po::value(&sizes), "comma-separated sizes to use instead of the defaults")(
+      "out", po::value(&out), "file for the table; default: standard output")(
       "page", po::value(&page)->default_value("docs/CAPACITY.md"),
-      "page: the file whose figures are made anew")(
-      "results", po::value(&results)->default_value("experiments/capacity/results"), "page: the tables")(
-      "program", po::value(&setup.program)->default_value("build/hareramp"), "the director")(
-      "seconds", po::value(&setup.seconds)->default_value(5), "of each span that is measured")(
-      "processes", po::value(&setup.processes)->default_value(3), "that share simulated directors")(
-      "nodes", po::value(&setup.nodes)->default_value(460), "in the list")(
+      "page: the file whose figures are regenerated")(
+      "results", po::value(&results)->default_value("experiments/capacity/results"),
+      "page: directory of the tables")("program", po::value(&setup.program)->default_value("build/hareramp"),
+                                       "path of the hareramp executable")(
+      "seconds", po::value(&setup.seconds)->default_value(5), "length of each measured interval")(
+      "processes", po::value(&setup.processes)->default_value(3),
+      "processes that the simulated directors are distributed over")(
+      "nodes", po::value(&setup.nodes)->default_value(460), "number of nodes in the list")(
       "rate", po::value(&setup.rate)->default_value(100), "purges/s")(
-      "backlog", po::value(&source.backlog), "source: purges that are there at the start")(
-      "node-changes", po::value(&source.node_changes), "source: among them")(
-      "backlog-later", po::bool_switch(&source.backlog_later), "source: keeps them back until SIGALRM")(
-      "first-purge", po::value(&source.first_purge), "source: number of the first")(
+      "backlog", po::value(&source.backlog), "source: number of purges issued before the start")(
+      "node-changes", po::value(&source.node_changes), "source: number of node changes among them")(
+      "backlog-later", po::bool_switch(&source.backlog_later),
+      "source: issue the backlog on SIGALRM instead of at the start")(
+      "first-purge", po::value(&source.first_purge), "source: number of the first purge")(
       "listen", po::value(&source.listen), "source: address and port")(
-      "compressed", po::bool_switch(&directors.compressed), "directors: ask for gzip")(
+      "compressed", po::bool_switch(&directors.compressed), "directors: request gzip")(
       "list", po::value(&source.list), "source: file with the entries of the whole list")(
-      "count", po::value(&directors.count), "directors: how many")(
+      "count", po::value(&directors.count), "directors: number of directors")(
       "source", po::value(&directors.source), "directors: addresses of the change stream")(
-      "until", po::value(&directors.until), "directors: ready once told this event")(
-      "spread", po::value(&directors.spread_s), "directors: s over which they start");
-  po::variables_map given;
+      "until", po::value(&directors.until), "directors: number of the event after which a director is ready")(
+      "spread", po::value(&directors.spread_s), "directors: seconds over which their starts are spread");
+  po::variables_map variables;
   try {
-    po::store(po::command_line_parser(count, words)
+    po::store(po::command_line_parser(argc, argv)
                   .options(options)
                   .positional(po::positional_options_description().add("name", 1))
                   .run(),
-              given);
-    po::notify(given);
+              variables);
+    po::notify(variables);
     if (role == "source") {
       source.nodes = setup.nodes, source.rate = setup.rate;
       return run_source(source);
@@ -85,15 +90,15 @@
       return run_directors(directors);
     }
     if (role == "page") {
-      std::ifstream old(page);
-      const std::string text{std::istreambuf_iterator<char>(old), {}};
+      std::ifstream input(page);
+      const std::string text{std::istreambuf_iterator<char>(input), {}};
       const std::string filled = fill_page(text, report_blocks(results));
       std::ofstream(page) << filled;
       return 0;
     }
     for (const Measurement& measurement : measurements()) {
       if (measurement.name != role) continue;
-      setup.sizes = sizes.empty() ? measurement.sizes : numbers(sizes);
+      setup.sizes = sizes.empty() ? measurement.sizes : parse_numbers(sizes);
       setup.command = fmt::format(
           "build/capacity_experiment {} --sizes {} --seconds {} --processes {} --nodes {} "
           "--rate {}",
@@ -113,6 +118,6 @@
   }
   std::cout << options << "\nmeasurements:\n";
   for (const Measurement& measurement : measurements())
-    fmt::print("  {:<20} {}\n", measurement.name, measurement.what);
-  return given.count("help") ? 0 : 2;
+    fmt::print("  {:<20} {}\n", measurement.name, measurement.description);
+  return variables.count("help") ? 0 : 2;
 }
--- a/experiments/capacity/measurements.cpp
+++ b/experiments/capacity/measurements.cpp
@@ -16,19 +16,19 @@
 
 namespace {
 
-constexpr double kLookEvery = 0.01;  // s
-constexpr double kSettle = 1.5;      // s, for what a start leaves behind
-constexpr double kWarmUp = 2;        // s of load before anything counts
+constexpr double kPollInterval = 0.01;  // s
+constexpr double kSettle = 1.5;         // s after a start until its remaining work is done
+constexpr double kWarmUp = 2;           // s of load before the measurement
 constexpr double kKb = 1024, kMb = kKb * kKb;
-constexpr int kSimulatedBeside = 20;  // simulated directors beside a real one
-constexpr int kRegion = 346;          // of 4,500 directors in 13 regions
+constexpr int kSimulatedCount = 20;    // simulated directors measured along with a real one
+constexpr int kRegionDirectors = 346;  // 4,500 directors in 13 regions
 constexpr int kSteadySubscribers = 300;
 constexpr int kNodeChangesInBacklog = 24;
-constexpr double kObjectKb = 193;  // mean body of a request
-constexpr std::size_t kSmallBody = 4096;
+constexpr double kObjectKb = 193;  // mean size of a response body
+constexpr std::size_t kSmallBodyBytes = 4096;
 
-std::string list_with(const LiveNodes& live, int nodes) {
-  return live.entries + "," + node_entries(nodes - static_cast<int>(live.nodes.size()));
+std::string list_entries(const MockNodes& mock_nodes, int nodes) {
+  return mock_nodes.entries + "," + node_entries(nodes - static_cast<int>(mock_nodes.nodes.size()));
 }
 
 // --- one director ---
@@ -39,21 +39,21 @@
   Setup one_process = setup;
   one_process.processes = 1;
   for (const double nodes : setup.sizes) {
-    const Folder folder;
-    Source source(setup, {.nodes = static_cast<int>(nodes)});
-    RealDirector real(setup, folder, {.change_stream = source.address()}, 0);
-    wait_until("the list", [&] { return real.counters()["events"] >= 1; });
-    const double ready = real.age();
+    const TemporaryDirectory folder;
+    SourceProcess source(setup, {.nodes = static_cast<int>(nodes)});
+    RealDirector real_director(setup, folder, {.change_stream = source.address()}, 0);
+    wait_until("the node list", [&] { return real_director.counters()["events"] >= 1; });
+    const double ready = real_director.uptime();
     pause(kSettle);
-    const ProcessUsage usage = real.usage();
+    const ProcessUsage usage = real_director.usage();
     const double bytes = source.report()["bytes"].get<double>();
-    const SimulatedDirectors none(one_process, source.address(), {.count = 0});
-    SimulatedDirectors some(one_process, source.address(), {.count = kSimulatedBeside});
-    some.wait_ready();
+    const SimulatedDirectors no_directors(one_process, source.address(), {.count = 0});
+    SimulatedDirectors simulated_directors(one_process, source.address(), {.count = kSimulatedCount});
+    simulated_directors.wait_ready();
     pause(kSettle);
     table.add({nodes, usage.resident_mb, ready, usage.processor_s, bytes / kKb,
-               (some.resident_mb() - none.resident_mb()) / kSimulatedBeside,
-               (some.processor_s() - none.processor_s()) / kSimulatedBeside});
+               (simulated_directors.resident_mb() - no_directors.resident_mb()) / kSimulatedCount,
+               (simulated_directors.processor_s() - no_directors.processor_s()) / kSimulatedCount});
   }
   return table;
 }
@@ -62,47 +62,48 @@
   Table table(setup.command, {"purges_per_s", "real_processor", "real_kb_per_s", "real_mb",
                               "simulated_processor", "simulated_mb"});
   for (const double rate : setup.sizes) {
-    const Folder folder;
-    Setup here = setup;
-    here.processes = 1;
-    here.rate = std::max(rate, 1.0);
-    Source source(here, {.nodes = setup.nodes, .rate = rate});
-    RealDirector real(here, folder, {.change_stream = source.address()}, 0);
-    SimulatedDirectors some(here, source.address(), {.count = kSimulatedBeside});
-    some.wait_ready();
-    begin_purges(source, some);
-    pause(setup.seconds);  // purges are kept for some seconds: until as many are dropped as come
-    const double simulated = some.processor_s(), began = Scheduler::now();
-    const ProcessUsage before = real.usage();
+    const TemporaryDirectory folder;
+    Setup run_setup = setup;
+    run_setup.processes = 1;
+    run_setup.rate = std::max(rate, 1.0);
+    SourceProcess source(run_setup, {.nodes = setup.nodes, .rate = rate});
+    RealDirector real_director(run_setup, folder, {.change_stream = source.address()}, 0);
+    SimulatedDirectors simulated_directors(run_setup, source.address(), {.count = kSimulatedCount});
+    simulated_directors.wait_ready();
+    begin_purges(source, simulated_directors);
+    pause(setup.seconds);  // purges are kept for some seconds; afterwards as many expire as arrive
+    const double simulated_before = simulated_directors.processor_s(), start_time = Scheduler::now();
+    const ProcessUsage before = real_director.usage();
     const double bytes = source.report()["bytes"].get<double>();
     pause(setup.seconds);
-    const double span = Scheduler::now() - began;
-    const ProcessUsage after = real.usage();
+    const double span = Scheduler::now() - start_time;
+    const ProcessUsage after = real_director.usage();
     table.add({rate, (after.processor_s - before.processor_s) / span,
-               (source.report()["bytes"].get<double>() - bytes) / span / (kSimulatedBeside + 1) / kKb,
-               after.resident_mb, (some.processor_s() - simulated) / span / kSimulatedBeside,
-               some.resident_mb() / kSimulatedBeside});
+               (source.report()["bytes"].get<double>() - bytes) / span / (kSimulatedCount + 1) / kKb,
+               after.resident_mb,
+               (simulated_directors.processor_s() - simulated_before) / span / kSimulatedCount,
+               simulated_directors.resident_mb() / kSimulatedCount});
   }
   return table;
 }
 
-// --- the source, or a relay, by subscribers and by rate ---
+// --- source or relay, by number of subscribers and by rate of purges ---
 
 struct StreamLoad {
   double directors = 0, rate = 0;
   bool relayed = false;
 };
 
-// What a server of the stream has done so far.
-struct ServerUse {
+// Cumulative resource usage of a process that serves the change stream.
+struct ServerUsage {
   double processor_s = 0, writes = 0, bytes = 0, resident_mb = 0;
 };
-ServerUse use_of(Source& source) {
+ServerUsage server_usage_of(SourceProcess& source) {
   const auto report = source.report();
   return {source.usage().processor_s, report["writes"].get<double>(), report["bytes"].get<double>(),
           source.usage().resident_mb};
 }
-ServerUse use_of(RelayProcess& relay) {
+ServerUsage server_usage_of(RelayProcess& relay) {
   auto counters = relay.counters();
   return {relay.usage().processor_s, static_cast<double>(counters["writes"]),
           static_cast<double>(counters["bytes_given"]), relay.usage().resident_mb};
@@ -124,32 +125,32 @@
                                                  "server_mb",
                                                  "director_mb"};
 
-std::vector<double> play_stream(const Setup& setup, const StreamLoad& load) {
-  Setup here = setup;
-  here.rate = load.rate;
-  const Folder folder;
-  Source source(here, {.nodes = setup.nodes, .rate = load.rate});
+std::vector<double> measure_stream(const Setup& setup, const StreamLoad& load) {
+  Setup run_setup = setup;
+  run_setup.rate = load.rate;
+  const TemporaryDirectory folder;
+  SourceProcess source(run_setup, {.nodes = setup.nodes, .rate = load.rate});
   std::unique_ptr<RelayProcess> relay;
   if (load.relayed) {
     relay = std::make_unique<RelayProcess>(
-        here, folder, RelayOptions{.listen = own_address(0), .sources = {source.address()}});
-    wait_until("the relay's list", [&] { return relay->counters()["last"] >= 1; });
+        run_setup, folder, RelayOptions{.listen = loopback_address(0), .sources = {source.address()}});
+    wait_until("the relay's node list", [&] { return relay->counters()["last"] >= 1; });
   }
-  const auto use = [&] { return relay ? use_of(*relay) : use_of(source); };
-  const ServerUse at_rest = use();
-  SimulatedDirectors directors(here, relay ? relay->address() : source.address(),
+  const auto current_usage = [&] { return relay ? server_usage_of(*relay) : server_usage_of(source); };
+  const ServerUsage at_rest = current_usage();
+  SimulatedDirectors directors(run_setup, relay ? relay->address() : source.address(),
                                {.count = static_cast<int>(load.directors), .compressed = load.relayed});
   const double ready = directors.wait_ready();
-  const ServerUse started = use();
+  const ServerUsage started = current_usage();
   begin_purges(source, directors);
-  const ServerUse before = use();
-  const double theirs = directors.processor_s(), began = Scheduler::now();
+  const ServerUsage before = current_usage();
+  const double directors_before = directors.processor_s(), start_time = Scheduler::now();
   pause(setup.seconds);
-  const double span = Scheduler::now() - began;
-  const ServerUse after = use();
-  const double their_processor = (directors.processor_s() - theirs) / span / load.directors;
+  const double span = Scheduler::now() - start_time;
+  const ServerUsage after = current_usage();
+  const double director_processor = (directors.processor_s() - directors_before) / span / load.directors;
   const auto reports = directors.reports();
-  const double told = sum(reports, "purges");
+  const double delivered = sum(reports, "purges");
   const double issued = (source.report()["last"].get<double>() - 1) * load.directors;
   return {load.directors,
           load.rate,
@@ -159,119 +160,123 @@
           (after.processor_s - before.processor_s) / span,
           (after.writes - before.writes) / span,
           (after.bytes - before.bytes) / span / kKb,
-          told / issued,
+          delivered / issued,
           largest(reports, "p50_s"),
           largest(reports, "p99_s"),
           largest(reports, "most_s"),
-          their_processor,
+          director_processor,
           after.resident_mb,
           directors.resident_mb() / load.directors};
 }
 
 Table by_subscribers(const Setup& setup, bool relayed) {
   Table table(setup.command, kStreamColumns);
-  for (const double directors : setup.sizes) table.add(play_stream(setup, {directors, setup.rate, relayed}));
+  for (const double directors : setup.sizes)
+    table.add(measure_stream(setup, {directors, setup.rate, relayed}));
   return table;
 }
 Table by_rate(const Setup& setup, bool relayed) {
   Table table(setup.command, kStreamColumns);
-  for (const double rate : setup.sizes) table.add(play_stream(setup, {kSteadySubscribers, rate, relayed}));
+  for (const double rate : setup.sizes) table.add(measure_stream(setup, {kSteadySubscribers, rate, relayed}));
   return table;
 }
 
 // --- catch-up ---
 
-// A director under load follows a stream with so many purges of the last hour, straight or by a relay.
-std::vector<double> play_catch_up(const Setup& setup, double purges, bool relayed) {
-  constexpr double kRequestsPerSecond = 400, kQuiet = 0.3, kLongest = 60;
+// A director under load subscribes to a stream with the given number of purges from the last hour, at the
+// source or at a relay.
+std::vector<double> measure_catch_up(const Setup& setup, double purges, bool relayed) {
+  constexpr double kRequestsPerSecond = 400, kQuietInterval = 0.3, kTimeout = 60;
   constexpr int kClients = 200;
-  const Folder folder;
+  const TemporaryDirectory folder;
   Scheduler scheduler;
-  const LiveNodes live(scheduler, kSmallBody);
-  const std::string list = folder.write("list", list_with(live, setup.nodes));
-  // A source without the backlog for the rest, then one with it: the director goes on behind the list.
-  Source quiet(setup, {.nodes = setup.nodes, .list = list});
-  RealDirector real(setup, folder, {.change_stream = quiet.address()}, 0);
-  SteadyLoad load(scheduler, real.address(), kRequestsPerSecond, kClients);
-  load.play(kWarmUp);
-  const auto at_rest = load.play(setup.seconds);
-  Source full(setup, {.nodes = setup.nodes,
-                      .backlog = static_cast<long long>(purges),
-                      .node_changes = kNodeChangesInBacklog,
-                      .list = list});
-  const auto last = full.report()["last"].get<std::uint64_t>();
+  const MockNodes mock_nodes(scheduler, kSmallBodyBytes);
+  const std::string list = folder.write("list", list_entries(mock_nodes, setup.nodes));
+  // The first source has no backlog and serves the measurement at rest; the second has one. Both issue the
+  // same node list as event 1, so that the director continues after it.
+  SourceProcess idle_source(setup, {.nodes = setup.nodes, .list = list});
+  RealDirector real_director(setup, folder, {.change_stream = idle_source.address()}, 0);
+  OpenLoopLoad load(scheduler, real_director.address(), kRequestsPerSecond, kClients);
+  load.run_for(kWarmUp);
+  const auto at_rest = load.run_for(setup.seconds);
+  SourceProcess loaded_source(setup, {.nodes = setup.nodes,
+                                      .backlog = static_cast<long long>(purges),
+                                      .node_changes = kNodeChangesInBacklog,
+                                      .list = list});
+  const auto last = loaded_source.report()["last"].get<std::uint64_t>();
   std::unique_ptr<RelayProcess> relay;
   if (relayed) {
     relay = std::make_unique<RelayProcess>(
-        setup, folder, RelayOptions{.listen = own_address(0), .sources = {full.address()}});
+        setup, folder, RelayOptions{.listen = loopback_address(0), .sources = {loaded_source.address()}});
     wait_until("the relay's backlog", [&] { return relay->counters()["last"] >= last; });
   }
-  const auto server_use = [&] { return relay ? use_of(*relay) : use_of(full); };
-  const ServerUse server_before = server_use();
-  const std::uint64_t events_at_rest = real.counters()["events"];
-  const ProcessUsage rest = real.usage();
-  reset_peak(real.id());
-  real.follow(relay ? relay->address() : full.address());
-  const double began = Scheduler::now();
-  double looked = began, changed = began;
+  const auto current_usage = [&] { return relay ? server_usage_of(*relay) : server_usage_of(loaded_source); };
+  const ServerUsage server_before = current_usage();
+  const std::uint64_t events_at_rest = real_director.counters()["events"];
+  const ProcessUsage usage_at_rest = real_director.usage();
+  reset_peak(real_director.id());
+  real_director.switch_change_stream(relay ? relay->address() : loaded_source.address());
+  const double start_time = Scheduler::now();
+  double last_poll = start_time, last_change = start_time;
   std::uint64_t events = events_at_rest;
-  const auto meanwhile = load.play(kLongest, [&] {
+  const auto during_catch_up = load.run_for(kTimeout, [&] {
     const double now = Scheduler::now();
-    if (now - looked < kLookEvery) return false;
-    looked = now;
-    const std::uint64_t seen = std::max(events, real.counters_so_far()["events"]);
-    if (seen > events) changed = now;
+    if (now - last_poll < kPollInterval) return false;
+    last_poll = now;
+    const std::uint64_t seen = std::max(events, real_director.last_printed_counters()["events"]);
+    if (seen > events) last_change = now;
     events = seen;
-    return events > events_at_rest && now - changed > kQuiet;
+    return events > events_at_rest && now - last_change > kQuietInterval;
   });
-  const ProcessUsage after = real.usage();
-  const ServerUse server_after = server_use();
+  const ProcessUsage after = real_director.usage();
+  const ServerUsage server_after = current_usage();
   return {purges,
           static_cast<double>(events - events_at_rest),
           (server_after.bytes - server_before.bytes) / kKb,
-          changed - began,
-          after.processor_s - rest.processor_s,
-          rest.resident_mb,
+          last_change - start_time,
+          after.processor_s - usage_at_rest.processor_s,
+          usage_at_rest.resident_mb,
           after.peak_mb,
-          after.peak_mb - rest.resident_mb,
+          after.peak_mb - usage_at_rest.resident_mb,
           server_after.processor_s - server_before.processor_s,
-          relay ? relay->usage().peak_mb : full.usage().peak_mb,
-          static_cast<double>(real.counters()["late_turns"]),
+          relay ? relay->usage().peak_mb : loaded_source.usage().peak_mb,
+          static_cast<double>(real_director.counters()["late_turns"]),
           percentile(at_rest, 0.99),
-          percentile(meanwhile, 0.99)};
+          percentile(during_catch_up, 0.99)};
 }
 
 Table catch_up(const Setup& setup, bool relayed) {
   Table table(setup.command, {"purges", "events", "stream_kb", "caught_up_s", "director_processor_s",
                               "rest_mb", "peak_mb", "over_rest_mb", "server_processor_s", "server_peak_mb",
                               "late_turns", "p99_rest_s", "p99_meanwhile_s"});
-  for (const double purges : setup.sizes) table.add(play_catch_up(setup, purges, relayed));
+  for (const double purges : setup.sizes) table.add(measure_catch_up(setup, purges, relayed));
   return table;
 }
 
-// A region's directors together, from a cursor at the start.
+// All directors of a region catch up at the same time, each from the first event.
 Table catch_up_region(const Setup& setup, bool relayed) {
   Table table(setup.command, {"purges", "directors", "caught_up_s", "server_processor_s", "stream_mb",
                               "director_processor_s", "director_peak_mb", "server_peak_mb"});
   for (const double purges : setup.sizes) {
-    const Folder folder;
+    const TemporaryDirectory folder;
     const auto last = static_cast<std::uint64_t>(purges) + 1;
-    Source source(setup, {.nodes = setup.nodes, .backlog = static_cast<long long>(purges)});
+    SourceProcess source(setup, {.nodes = setup.nodes, .backlog = static_cast<long long>(purges)});
     std::unique_ptr<RelayProcess> relay;
     if (relayed) {
       relay = std::make_unique<RelayProcess>(
-          setup, folder, RelayOptions{.listen = own_address(0), .sources = {source.address()}});
+          setup, folder, RelayOptions{.listen = loopback_address(0), .sources = {source.address()}});
       wait_until("the relay's backlog", [&] { return relay->counters()["last"] >= last; });
     }
-    const ServerUse before = relay ? use_of(*relay) : use_of(source);
+    const ServerUsage before = relay ? server_usage_of(*relay) : server_usage_of(source);
     SimulatedDirectors directors(
         setup, relay ? relay->address() : source.address(),
-        {.count = kRegion, .until = static_cast<long long>(last), .compressed = relayed});
+        {.count = kRegionDirectors, .until = static_cast<long long>(last), .compressed = relayed});
     const double ready = directors.wait_ready();
-    const ServerUse after = relay ? use_of(*relay) : use_of(source);
-    table.add({purges, kRegion, ready, after.processor_s - before.processor_s,
-               (after.bytes - before.bytes) / kMb, directors.processor_s() / kRegion,
-               directors.peak_mb() / kRegion, relay ? relay->usage().peak_mb : source.usage().peak_mb});
+    const ServerUsage after = relay ? server_usage_of(*relay) : server_usage_of(source);
+    table.add({purges, kRegionDirectors, ready, after.processor_s - before.processor_s,
+               (after.bytes - before.bytes) / kMb, directors.processor_s() / kRegionDirectors,
+               directors.peak_mb() / kRegionDirectors,
+               relay ? relay->usage().peak_mb : source.usage().peak_mb});
   }
   return table;
 }
@@ -284,27 +289,27 @@
                               "p99_s", "director_mb", "not_asked"});
   for (const double body_kb : {1.0, kObjectKb})
     for (const double rate : setup.sizes) {
-      const Folder folder;
+      const TemporaryDirectory folder;
       Scheduler scheduler;
-      const LiveNodes live(scheduler, static_cast<std::size_t>(body_kb * kKb));
-      const std::string list = folder.write("list", list_with(live, setup.nodes));
-      Source source(setup, {.nodes = setup.nodes, .list = list});
-      RealDirector real(setup, folder, {.change_stream = source.address(), .memory_mb = 192}, 0);
-      SteadyLoad load(scheduler, real.address(), rate, kClients);
-      load.play(kWarmUp);
-      const ProcessUsage before = real.usage();
-      const double began = Scheduler::now();
-      const auto latencies = load.play(setup.seconds);
-      const double span = Scheduler::now() - began;
+      const MockNodes mock_nodes(scheduler, static_cast<std::size_t>(body_kb * kKb));
+      const std::string list = folder.write("list", list_entries(mock_nodes, setup.nodes));
+      SourceProcess source(setup, {.nodes = setup.nodes, .list = list});
+      RealDirector real_director(setup, folder, {.change_stream = source.address(), .memory_mb = 192}, 0);
+      OpenLoopLoad load(scheduler, real_director.address(), rate, kClients);
+      load.run_for(kWarmUp);
+      const ProcessUsage before = real_director.usage();
+      const double start_time = Scheduler::now();
+      const auto latencies = load.run_for(setup.seconds);
+      const double span = Scheduler::now() - start_time;
       table.add({rate, body_kb, static_cast<double>(latencies.size()) / span,
-                 (real.usage().processor_s - before.processor_s) / span, percentile(latencies, 0.5),
-                 percentile(latencies, 0.99), real.usage().resident_mb,
-                 static_cast<double>(load.not_asked())});
+                 (real_director.usage().processor_s - before.processor_s) / span, percentile(latencies, 0.5),
+                 percentile(latencies, 0.99), real_director.usage().resident_mb,
+                 static_cast<double>(load.unsent())});
     }
   return table;
 }
 
-// --- a cold node ---
+// --- a node that has just started ---
 
 Table cold_quota(const Setup& setup) {
   Table table(setup.command, {"directors", "attempts_each", "attempts_all", "limit_all"});
@@ -329,19 +334,29 @@
     return [measure](const Setup& setup) { return measure(setup, true); };
   };
   static const std::vector<Measurement> kMeasurements = {
-      {"director_nodes", "a director by the nodes it knows", {10, 100, 460, 1000, 2000}, director_nodes},
-      {"director_purges", "a director by purges/s", {0, 50, 100, 250, 500, 1000}, director_purges},
-      {"requests", "one director by requests/s", {195, 389, 778, 1556, 2334}, requests},
-      {"source_subscribers", "the source by subscribers", kSubscribers, direct(by_subscribers)},
-      {"source_rate", "the source by purges/s, 300 subscribers", kRates, direct(by_rate)},
-      {"catch_up", "one director behind by so many purges, at the source", kBacklogs, direct(catch_up)},
-      {"catch_up_region", "346 directors behind, at the source", kRegionBacklogs, direct(catch_up_region)},
-      {"relay_subscribers", "a relay by subscribers", kSubscribers, relayed(by_subscribers)},
-      {"relay_rate", "a relay by purges/s, 300 subscribers", kRates, relayed(by_rate)},
-      {"relay_catch_up", "one director behind by so many purges, at a relay", kBacklogs, relayed(catch_up)},
-      {"relay_catch_up_region", "346 directors behind, at a relay", kBacklogs, relayed(catch_up_region)},
-      {"relay_faults", "two relays, simulated directors, a fault between them", all_faults(), relay_faults},
-      {"cold_quota", "what an even split leaves a director", {4, 30, 300, 1000, 4500}, cold_quota}};
+      {"director_nodes",
+       "one director, by number of nodes in its list",
+       {10, 100, 460, 1000, 2000},
+       director_nodes},
+      {"director_purges", "one director, by purges/s", {0, 50, 100, 250, 500, 1000}, director_purges},
+      {"requests", "one director, by requests/s", {195, 389, 778, 1556, 2334}, requests},
+      {"source_subscribers", "the source, by number of subscribers", kSubscribers, direct(by_subscribers)},
+      {"source_rate", "the source with 300 subscribers, by purges/s", kRates, direct(by_rate)},
+      {"catch_up", "one director catching up at the source, by size of the backlog", kBacklogs,
+       direct(catch_up)},
+      {"catch_up_region", "346 directors catching up at the source, by size of the backlog", kRegionBacklogs,
+       direct(catch_up_region)},
+      {"relay_subscribers", "a relay, by number of subscribers", kSubscribers, relayed(by_subscribers)},
+      {"relay_rate", "a relay with 300 subscribers, by purges/s", kRates, relayed(by_rate)},
+      {"relay_catch_up", "one director catching up at a relay, by size of the backlog", kBacklogs,
+       relayed(catch_up)},
+      {"relay_catch_up_region", "346 directors catching up at a relay, by size of the backlog", kBacklogs,
+       relayed(catch_up_region)},
+      {"relay_faults", "two relays and simulated directors, by kind of fault", all_faults(), relay_faults},
+      {"cold_quota",
+       "share of a starting parent's quota per director under an even split",
+       {4, 30, 300, 1000, 4500},
+       cold_quota}};
   return kMeasurements;
 }
 
--- a/experiments/capacity/measurements.hpp
+++ b/experiments/capacity/measurements.hpp
@@ -1,5 +1,5 @@
-// What is measured against the size to design for: each measurement starts its own processes, plays its sizes
-// one after another and returns a row a size.
+// The measurements of the capacity experiment. Each starts its own processes, runs its sizes one after
+// another and returns one row per size.
 #pragma once
 
 #include <functional>
@@ -12,8 +12,8 @@
 namespace hareramp::capacity {
 
 struct Measurement {
-  std::string name, what;
-  std::vector<double> sizes;  // the usual ones
+  std::string name, description;
+  std::vector<double> sizes;  // the defaults
   std::function<Table(const Setup&)> run;
 };
 const std::vector<Measurement>& measurements();
--- a/experiments/capacity/recorder.cpp
+++ b/experiments/capacity/recorder.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 constexpr std::uint64_t kFactor = 0x9e3779b97f4a7c15u;  // odd: it has an inverse modulo 2^64
-constexpr std::uint64_t kPurgesMost = 10'000'000;       // that are kept account of
+constexpr std::uint64_t kMaxPurgeNumber = 10'000'000;   // highest number that is recorded
 
 constexpr std::uint64_t inverse_of(std::uint64_t odd) {
-  std::uint64_t inverse = odd;  // right in three bits; each step doubles them
+  // Correct in the lowest three bits; each step doubles the number of correct bits.
+  std::uint64_t inverse = odd;
   for (int step = 0; step < 5; ++step) inverse *= 2 - odd * inverse;
   return inverse;
 }
@@ -25,23 +26,23 @@
 void Recorder::changes_arrived(std::vector<distribution::NumberedChange> changes, bool more_waits,
                                std::function<void(bool taken)> done) {
   for (const auto& [number, change] : changes)
-    if (change["invalidate"].is_object()) note(change["invalidate"]);
+    if (change["invalidate"].is_object()) record_purge(change["invalidate"]);
   receiver_.changes_arrived(std::move(changes), more_waits, std::move(done));
 }
 
-void Recorder::note(const protocol::Json& purge) {
+void Recorder::record_purge(const protocol::Json& purge) {
   ObjectId object;
   if (!protocol::parse_object_id(purge["object"].text(), object)) return;
   const std::uint64_t number = purge_of_object(object.value);
-  if (number == 0 || number > kPurgesMost) return;  // of a backlog: not one of those watched
+  if (number == 0 || number > kMaxPurgeNumber) return;  // a purge of a backlog, which is not recorded
   if (record_.seen.size() <= number) record_.seen.resize(number + 1);
-  ++record_.told;
-  if (record_.seen[number]++ > 0) ++record_.twice;
+  ++record_.received;
+  if (record_.seen[number]++ > 0) ++record_.duplicates;
   if (number < record_.newest) ++record_.out_of_order;
   record_.newest = std::max(record_.newest, number);
-  const double took = transport::Clock::unix_now() - purge["time"].number(0) / 1000;
-  if (took > late_after_) ++record_.late;
-  record_.latest_s = std::max(record_.latest_s, took);
+  const double latency = transport::Clock::unix_now() - purge["time"].number(0) / 1000;
+  if (latency > late_after_) ++record_.late;
+  record_.max_latency_s = std::max(record_.max_latency_s, latency);
 }
 
 }  // namespace hareramp::capacity
--- a/experiments/capacity/recorder.hpp
+++ b/experiments/capacity/recorder.hpp
@@ -1,5 +1,5 @@
-// What one director was told of purges, seen from outside its decisions: which, how often, in which order and
-// how late. Stands between the subscription and the module and passes everything on.
+// Records which purges one director received, how often, in which order and how late, independently of the
+// director's decisions. Placed between the subscription and the decision module; forwards every change.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,21 @@
 
 namespace hareramp::capacity {
 
-// Purges are numbered from 1 by the source; the object that one names looks drawn and leads back to its
-// number.
+// The source numbers purges from 1. The object id of a purge is a reversible scrambling of its number, so
+// that the ids look random and the number can be recovered from the id.
 std::uint64_t object_of_purge(std::uint64_t purge);
 std::uint64_t purge_of_object(std::uint64_t object);
 
 struct PurgeRecord {
-  std::uint64_t told = 0, twice = 0, out_of_order = 0, late = 0;
-  std::uint64_t newest = 0;        // number of the last one told
-  double latest_s = 0;             // the longest from issue to here
-  std::vector<std::uint8_t> seen;  // by number
+  std::uint64_t received = 0, duplicates = 0, out_of_order = 0, late = 0;
+  std::uint64_t newest = 0;        // highest number received
+  double max_latency_s = 0;        // longest time from issue to arrival
+  std::vector<std::uint8_t> seen;  // times received, by number of the purge
 };
 
 class Recorder : public distribution::ChangeReceiver {
  public:
-  // Late is what comes later than so many seconds after its issue.
+  // A purge counts as late if it arrives more than late_after seconds after its issue.
   Recorder(distribution::ChangeReceiver& receiver, double late_after)
       : receiver_(receiver), late_after_(late_after) {}
 
@@ -36,7 +36,7 @@
   const PurgeRecord& record() const { return record_; }
 
  private:
-  void note(const protocol::Json& purge);
+  void record_purge(const protocol::Json& purge);
   distribution::ChangeReceiver& receiver_;
   double late_after_;
   PurgeRecord record_;
--- a/experiments/capacity/report.cpp
+++ b/experiments/capacity/report.cpp
@@ -15,25 +15,25 @@
 
 namespace {
 
-// The size to design for.
+// The deployment size to design for.
 constexpr double kDirectors = 4500, kNodes = 460, kPurgesPerS = 100, kRequestsPerS = 778, kObjectKb = 193;
 constexpr double kRegions = 13, kHourOfPurges = 360'000, kRestartsPerDay = 1100, kDay = 86'400;
 constexpr double kConfigurationChangesPerDay = 5000;
 constexpr double kRegionDirectors = 346;
 constexpr double kMachines = 18;
-// Budgets: of a director's control, and of a purge.
+// Budgets of a director's control traffic, and of the time until a purge or a configuration is in force.
 constexpr double kControlProcessor = 0.02, kControlMb = 64, kControlKbPerS = 8, kPurgeInForceS = 2.3;
 constexpr double kConfigurationInForceS = 17;
 constexpr double kSmallestPlatformMb = 32;
-// The source's one thread is full beyond so many subscribers.
-constexpr double kSourceFullBeyond = 1000;
-constexpr double kNoMost = 1e18;
+// Number of subscribers above which the source's single thread is saturated.
+constexpr double kSourceSaturatedSubscribers = 1000;
+constexpr double kNoLimit = 1e18;
 
 struct Fitted {
-  std::string what, file, x, y;
+  std::string label, file, x, y;
   std::map<std::string, double> where;
   Line line;
-  double largest = 0;  // x that was measured
+  double largest = 0;  // largest x that was measured
   std::size_t points = 0;
 };
 
@@ -46,20 +46,21 @@
     if (found != tables_.end()) return found->second;
     return tables_.emplace(name, Table::load(folder_ + "/" + name + ".csv")).first->second;
   }
-  // The value of a column in the row whose first column has the value given.
+  // The value of the column in the row whose first column equals `first`.
   double value(const std::string& name, double first, const std::string& column) {
     const Table& all = table(name);
     for (const auto& row : all.rows())
       if (row[0] == first) return row[all.column(column)];
     throw std::runtime_error(fmt::format("{}: no row {}", name, first));
   }
-  // x_most: larger ones are left out, where what is measured there is full and no line any more.
-  const Fitted& line(const std::string& what, const std::string& name, const std::string& x,
+  // Fits a line to two columns of a table. Points with x above max_x are left out: the measured process is
+  // saturated there and the relation is no longer linear.
+  const Fitted& line(const std::string& label, const std::string& name, const std::string& x,
                      const std::string& y, const std::map<std::string, double>& where = {},
-                     double x_most = kNoMost) {
+                     double max_x = kNoLimit) {
     auto points = table(name).points(x, y, where);
-    std::erase_if(points, [x_most](const auto& point) { return point.first > x_most; });
-    Fitted fitted{what, name, x, y, where, fit(points), 0, points.size()};
+    std::erase_if(points, [max_x](const auto& point) { return point.first > max_x; });
+    Fitted fitted{label, name, x, y, where, fit(points), 0, points.size()};
     for (const auto& point : points) fitted.largest = std::max(fitted.largest, point.first);
     lines_.push_back(fitted);
     return lines_.back();
@@ -70,45 +71,45 @@
  private:
   std::string folder_;
   std::map<std::string, Table> tables_;
-  std::deque<Fitted> lines_;  // whose elements stay where they are
+  std::deque<Fitted> lines_;  // a deque, since line() returns references to its elements
 };
 
-std::string reach(const Fitted& fitted, double x) {
+std::string describe_range(const Fitted& fitted, double x) {
   if (x <= fitted.largest) return fmt::format("measured to {:.0f}", fitted.largest);
   return fmt::format("extrapolated {:.1f} times, from {:.0f}", x / fitted.largest, fitted.largest);
 }
 
-// A row of a role's table.
+// A row of the table of budgets of one part.
 struct Row {
-  std::string what;
+  std::string label;
   double value = 0;
   std::string unit;
-  double budget = 0;  // 0: none is set
-  std::string formula, measured, carried_by;
+  double budget = 0;  // 0: no budget is set
+  std::string formula, measured, component;
 };
 std::string rows_as_text(const std::vector<Row>& rows) {
   std::string text =
       "| what | at the size | budget | | formula | measured | carried by |\n"
       "| --- | --- | --- | --- | --- | --- | --- |\n";
   for (const Row& row : rows)
-    text += fmt::format("| {} | {:.4g} {} | {} | {} | {} | {} | {} |\n", row.what, row.value, row.unit,
+    text += fmt::format("| {} | {:.4g} {} | {} | {} | {} | {} | {} |\n", row.label, row.value, row.unit,
                         row.budget > 0 ? fmt::format("{:.4g}", row.budget) : "-",
                         row.budget <= 0           ? "no budget set"
                         : row.value <= row.budget ? "holds"
                                                   : "**exceeds**",
-                        row.formula, row.measured, row.carried_by);
+                        row.formula, row.measured, row.component);
   return text;
 }
 
-Row at_size(const Fitted& fitted, const std::string& what, double x, const std::string& unit, double budget,
-            const std::string& carried_by) {
-  return {what,
+Row at_size(const Fitted& fitted, const std::string& label, double x, const std::string& unit, double budget,
+            const std::string& component) {
+  return {label,
           fitted.line.at(x),
           unit,
           budget,
           fmt::format("{:.4g} + {:.4g} x {:.0f} {}", fitted.line.intercept, fitted.line.slope, x, fitted.x),
-          fmt::format("{}: {}", fitted.file, reach(fitted, x)),
-          carried_by};
+          fmt::format("{}: {}", fitted.file, describe_range(fitted, x)),
+          component};
 }
 
 std::string director_block(Results& results) {
@@ -169,10 +170,10 @@
 std::string source_block(Results& results) {
   std::vector<Row> rows;
   rows.push_back(at_size(results.line("the source by subscribers", "source_subscribers", "subscribers",
-                                      "server_processor", {}, kSourceFullBeyond),
+                                      "server_processor", {}, kSourceSaturatedSubscribers),
                          "source, all directors straight", kDirectors, "cores", 1, "the operators' source"));
   rows.push_back(at_size(results.line("the source's bytes by subscribers", "source_subscribers",
-                                      "subscribers", "kb_per_s", {}, kSourceFullBeyond),
+                                      "subscribers", "kb_per_s", {}, kSourceSaturatedSubscribers),
                          "source, all directors straight", kDirectors, "KB/s", 0, "the operators' source"));
   rows.push_back({"source, all directors straight, as it went",
                   results.value("source_subscribers", kDirectors, "server_processor"), "cores", 1,
@@ -220,32 +221,35 @@
 }
 
 std::string catch_up_block(Results& results) {
-  struct Way {
-    std::string name, one, region;
+  struct Variant {
+    std::string name, single_director, region;
   };
-  const std::vector<Way> ways = {{"before", "catch_up_before", ""},
-                                 {"source, read in slices", "catch_up", "catch_up_region"},
-                                 {"relay", "relay_catch_up", "relay_catch_up_region"}};
+  const std::vector<Variant> variants = {{"before", "catch_up_before", ""},
+                                         {"source, read in slices", "catch_up", "catch_up_region"},
+                                         {"relay", "relay_catch_up", "relay_catch_up_region"}};
   std::string text =
       "| 360,000 purges and 24 node changes behind | events | KB | seconds | director's processor s | "
       "director's peak MB | server's processor s | p99 of requests at rest, meanwhile |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- |\n";
-  for (const Way& way : ways) {
-    const auto at = [&](const char* column) { return results.value(way.one, kHourOfPurges, column); };
+  for (const Variant& variant : variants) {
+    const auto at = [&](const char* column) {
+      return results.value(variant.single_director, kHourOfPurges, column);
+    };
     text += fmt::format("| {} | {:.0f} | {:.0f} | {:.2f} | {:.2f} | {:.1f} | {:.2f} | {:.1f}, {:.1f} ms |\n",
-                        way.name, at("events"), at("stream_kb"), at("caught_up_s"),
+                        variant.name, at("events"), at("stream_kb"), at("caught_up_s"),
                         at("director_processor_s"), at("peak_mb"), at("server_processor_s"),
                         1000 * at("p99_rest_s"), 1000 * at("p99_meanwhile_s"));
   }
   const Fitted& source = region_stream(results);
-  const Fitted& spent =
+  const Fitted& processor_time =
       results.line("the source's processor time for it", "catch_up_region", "purges", "server_processor_s");
   text += fmt::format(
       "\nA region's 346 directors together: at the source {:.0f} MB and {:.0f} s of its processor ({}, {}); "
       "at a relay "
       "{:.1f} MB and {:.2f} s, all ready after {:.2f} s (relay_catch_up_region, measured at 360000).\n",
-      source.line.at(kHourOfPurges), spent.line.at(kHourOfPurges), "catch_up_region",
-      reach(source, kHourOfPurges), results.value("relay_catch_up_region", kHourOfPurges, "stream_mb"),
+      source.line.at(kHourOfPurges), processor_time.line.at(kHourOfPurges), "catch_up_region",
+      describe_range(source, kHourOfPurges),
+      results.value("relay_catch_up_region", kHourOfPurges, "stream_mb"),
       results.value("relay_catch_up_region", kHourOfPurges, "server_processor_s"),
       results.value("relay_catch_up_region", kHourOfPurges, "caught_up_s"));
   return text;
@@ -256,9 +260,9 @@
   const double start_processor = results.value("relay_subscribers", 1000, "start_server_processor_s") / 1000;
   std::string text =
       "| event | how often | what it costs | who pays | from |\n| --- | --- | --- | --- | --- |\n";
-  const auto row = [&](const std::string& event, const std::string& often, const std::string& cost,
-                       const std::string& who, const std::string& from) {
-    text += fmt::format("| {} | {} | {} | {} | {} |\n", event, often, cost, who, from);
+  const auto row = [&](const std::string& event, const std::string& frequency, const std::string& cost,
+                       const std::string& bearer, const std::string& from) {
+    text += fmt::format("| {} | {} | {} | {} | {} |\n", event, frequency, cost, bearer, from);
   };
   row("a node fails", "8 a day",
       fmt::format("one change: {:.2f} KB to all directors together, uncompressed", kDirectors * 0.2),
@@ -336,9 +340,9 @@
 }
 
 std::string ranking_block(Results& results) {
-  struct Missing {
-    std::string what, figure, state;
-    double over = 0;  // need over budget
+  struct MissingMechanism {
+    std::string label, figure, state;
+    double need_over_budget = 0;  // required value divided by the budget
   };
   const double bytes =
       results.line("ranking: control bytes", "director_purges", "purges_per_s", "real_kb_per_s")
@@ -346,10 +350,10 @@
   const double peak = results.value("catch_up_before", kHourOfPurges, "peak_mb");
   const double source = results
                             .line("ranking: the source", "source_subscribers", "subscribers",
-                                  "server_processor", {}, kSourceFullBeyond)
+                                  "server_processor", {}, kSourceSaturatedSubscribers)
                             .line.at(kDirectors);
   const double each = results.value("cold_quota", kDirectors, "attempts_each");
-  std::vector<Missing> all = {
+  std::vector<MissingMechanism> all = {
       {"distribution of the change stream",
        fmt::format(
            "peak {:.0f} of {:.0f} MB after an hour's cut, {:.2f} of {:.0f} KB/s, {:.1f} cores of the source",
@@ -364,12 +368,13 @@
       {"quotas leased by need",
        fmt::format("{:.0f} request each in 3 s at {:.0f} directors, whatever its traffic", each, kDirectors),
        "missing", each > 0 ? 1 / each : 1}};
-  std::stable_sort(all.begin(), all.end(), [](const auto& a, const auto& b) { return a.over > b.over; });
+  std::stable_sort(all.begin(), all.end(),
+                   [](const auto& a, const auto& b) { return a.need_over_budget > b.need_over_budget; });
   std::string text =
       "| rank | mechanism | need over budget | figure | state |\n| --- | --- | --- | --- | --- |\n";
-  for (std::size_t place = 0; place < all.size(); ++place)
-    text += fmt::format("| {} | {} | {:.1f} | {} | {} |\n", place + 1, all[place].what, all[place].over,
-                        all[place].figure, all[place].state);
+  for (std::size_t index = 0; index < all.size(); ++index)
+    text += fmt::format("| {} | {} | {:.1f} | {} | {} |\n", index + 1, all[index].label,
+                        all[index].need_over_budget, all[index].figure, all[index].state);
   return text;
 }
 
@@ -379,8 +384,8 @@
       "| --- | --- | --- | --- | --- | --- |\n";
   std::set<std::string> shown;
   for (const Fitted& fitted : results.lines()) {
-    if (fitted.what.starts_with("ranking") || !shown.insert(fitted.what).second) continue;
-    text += fmt::format("| {} | {}: {}, {} | {} | {:.4g} | {:.4g} | {:.3f} |\n", fitted.what, fitted.file,
+    if (fitted.label.starts_with("ranking") || !shown.insert(fitted.label).second) continue;
+    text += fmt::format("| {} | {}: {}, {} | {} | {:.4g} | {:.4g} | {:.3f} |\n", fitted.label, fitted.file,
                         fitted.x, fitted.y, fitted.points, fitted.line.slope, fitted.line.intercept,
                         fitted.line.r_squared);
   }
@@ -412,24 +417,24 @@
 }
 
 std::string fill_page(const std::string& page, const std::map<std::string, std::string>& blocks) {
-  const std::string begin_mark = "<!-- block ", end_mark = "<!-- end -->";
+  const std::string block_begin = "<!-- block ", block_end = "<!-- end -->";
   std::string filled;
-  std::set<std::string> used;
+  std::set<std::string> filled_blocks;
   std::size_t at = 0;
-  for (auto begin = page.find(begin_mark); begin != std::string::npos; begin = page.find(begin_mark, at)) {
-    const auto name_at = begin + begin_mark.size();
-    const auto name_end = page.find(" -->\n", name_at), end = page.find(end_mark, name_at);
+  for (auto begin = page.find(block_begin); begin != std::string::npos; begin = page.find(block_begin, at)) {
+    const auto name_at = begin + block_begin.size();
+    const auto name_end = page.find(" -->\n", name_at), end = page.find(block_end, name_at);
     if (name_end == std::string::npos || end == std::string::npos || name_end > end)
       throw std::runtime_error("a block of the page does not end");
     const std::string name = page.substr(name_at, name_end - name_at);
     const auto block = blocks.find(name);
     if (block == blocks.end()) throw std::runtime_error("the page has a block that is not made: " + name);
-    used.insert(name);
+    filled_blocks.insert(name);
     filled += page.substr(at, name_end + 5 - at) + block->second;
     at = end;
   }
   for (const auto& [name, text] : blocks)
-    if (!used.contains(name)) throw std::runtime_error("the page has no block " + name);
+    if (!filled_blocks.contains(name)) throw std::runtime_error("the page has no block " + name);
   return filled + page.substr(at);
 }
 
--- a/experiments/capacity/simulated_director.cpp
+++ b/experiments/capacity/simulated_director.cpp
@@ -5,10 +5,10 @@
 namespace hareramp::capacity {
 
 namespace {
-constexpr double kPurgeInForce = 2.3;  // s: within which each purge has to be in force everywhere
+constexpr double kPurgeDeadline = 2.3;  // s from its issue until a purge must be in force everywhere
 }  // namespace
 
-std::string director_configuration(const DirectorPlan& plan) {
+std::string director_configuration(const DirectorParameters& parameters) {
   return fmt::format(
       R"({{"name":"director","listen":"{0}","seed":"8c1f30d27a5be964","changelog":"{1}",
 "limits":{{"cores":1.0,"memory_mb":{2},"sockets":{3}}},
@@ -23,11 +23,12 @@
 "RetryAfter":true,"SecondCopies":true,"StreamsPerConn":100}},
 "RequestClasses":[{{"Name":"segment","AimStretch":2.0,"DeadlineS":3.0,"Effect":"retryable","PromiseS":1.0}},
 {{"Name":"note","DeadlineS":3.0,"Effect":"fragile","PromiseS":0.8}}]}}}})",
-      plan.listen, plan.change_stream, plan.memory_mb, plan.descriptors,
-      plan.known.empty()
+      parameters.listen, parameters.change_stream, parameters.memory_mb, parameters.descriptors,
+      parameters.known.empty()
           ? ""
-          : fmt::format(R"({{"seq":0,"fleet":{{"version":1,"full":true,"servers":[{}]}}}})", plan.known),
-      plan.directors);
+          : fmt::format(R"({{"seq":0,"fleet":{{"version":1,"full":true,"servers":[{}]}}}})",
+                        parameters.known),
+      parameters.directors);
 }
 
 SimulatedDirector::SimulatedDirector(transport::Scheduler& scheduler, const program::Config& config, Log& log,
@@ -35,7 +36,7 @@
                                      distribution::SubscriptionOptions options)
     : config_(config),
       module_(scheduler, config.limits, counters_, log, config.names, config.settings, seed),
-      recorder_(module_, kPurgeInForce),
+      recorder_(module_, kPurgeDeadline),
       changes_(scheduler, config.limits, counters_, log, std::move(endpoints), config.known_to, recorder_,
                options) {}
 
--- a/experiments/capacity/simulated_director.hpp
+++ b/experiments/capacity/simulated_director.hpp
@@ -1,6 +1,6 @@
-// A director without its port for clients: the subscription to the change stream on a real socket, the table
-// of nodes with an actor each, the decision module with its timers, and the counters. Many share one
-// scheduler.
+// A director without its listener for clients: the subscription to the change stream on a real socket, the
+// table of nodes with one actor each, the decision module with its timers, and the counters. Many of them run
+// on one scheduler.
 #pragma once
 
 #include <cstdint>
@@ -18,20 +18,21 @@
 
 namespace hareramp::capacity {
 
-// What every director of an experiment is configured with.
-struct DirectorPlan {
+// The configuration values that vary between experiments.
+struct DirectorParameters {
   std::string change_stream = {};          // address and port
   std::string listen = "127.0.0.1:1";      // unused by simulated directors
-  int directors = 4500;                    // that the settings name
-  int memory_mb = 64, descriptors = 1024;  // of the platform
-  std::string known = {};                  // entries known at the start, separated by commas
+  int directors = 4500;                    // number of directors in the settings
+  int memory_mb = 64, descriptors = 1024;  // limits of the platform
+  std::string known = {};                  // comma-separated entries of the nodes known at the start
 };
-// The text of a director's configuration.
-std::string director_configuration(const DirectorPlan& plan);
+// Returns the configuration file of a director.
+std::string director_configuration(const DirectorParameters& parameters);
 
 class SimulatedDirector {
  public:
-  // The configuration and the log are shared by all and outlive them. endpoints: of the change stream.
+  // The configuration and the log are shared by all directors and must outlive them. endpoints: servers of
+  // the change stream.
   SimulatedDirector(transport::Scheduler& scheduler, const program::Config& config, Log& log,
                     std::uint64_t seed, std::vector<distribution::Endpoint> endpoints,
                     distribution::SubscriptionOptions options = {});
--- a/experiments/capacity/stream_source.cpp
+++ b/experiments/capacity/stream_source.cpp
@@ -17,11 +17,11 @@
 
 namespace {
 
-constexpr std::size_t kReadRoom = 4096;
-constexpr std::size_t kLargestWrite = 64 * 1024;  // bytes
-constexpr double kCommentEvery = 1.0;             // s, as the protocol page has it
-constexpr double kWriteTimeout = 120.0;           // s: only bounds a subscriber that never reads
-constexpr int kParentEvery = 10;
+constexpr std::size_t kReadBytes = 4096;
+constexpr std::size_t kMaxWriteBytes = 64 * 1024;  // bytes
+constexpr double kCommentInterval = 1.0;           // s, as specified by the protocol page
+constexpr double kWriteTimeout = 120.0;            // s; disconnects a subscriber that never reads
+constexpr int kParentInterval = 10;
 
 struct SubscriptionRequest : protocol::HttpHandler {
   long long last_event = 0;
@@ -36,7 +36,7 @@
 }  // namespace
 
 std::string node_entry(int node, std::string_view state) {
-  const bool origin = node == 0, parent = !origin && node % kParentEvery == 1;
+  const bool origin = node == 0, parent = !origin && node % kParentInterval == 1;
   return fmt::format(
       R"({{"id":"n-{:08x}","addr":"127.200.{}.{}:5050","zone":"{}","kind":"{}","cell":0,"state":"{}","weight":{},"started_ms":0}})",
       node * 2654435761u, node / 250, node % 250 + 1, origin || parent ? "hub" : "edge",
@@ -63,7 +63,7 @@
   if (entries.empty()) entries = node_entries(nodes);
   append(fmt::format(R"("fleet":{{"version":1,"full":true,"servers":[{}]}})", entries));
   scheduler.spawn(accept_subscribers(*this));
-  scheduler.spawn(comment(*this));
+  scheduler.spawn(send_comments(*this));
 }
 
 void StreamSource::append(const std::string& change) {
@@ -81,7 +81,7 @@
 }
 
 void StreamSource::publish() {
-  for (const auto handle : std::exchange(waiting_, {})) scheduler_.resume_soon(handle);
+  for (const auto handle : std::exchange(waiting_subscribers_, {})) scheduler_.resume_soon(handle);
 }
 
 Task<> StreamSource::accept_subscribers(StreamSource& self) {
@@ -89,64 +89,64 @@
     auto accepted = co_await self.listener_.accept();
     if (accepted.status == transport::Listener::Status::kClosed) co_return;
     if (accepted.status != transport::Listener::Status::kAccepted) continue;
-    ++self.use_.accepted;
+    ++self.stats_.accepted;
     self.scheduler_.spawn(serve(self, std::move(accepted.socket)));
   }
 }
 
-Task<> StreamSource::comment(StreamSource& self) {
+Task<> StreamSource::send_comments(StreamSource& self) {
   for (;;) {
-    co_await self.scheduler_.sleep_until(Scheduler::now() + kCommentEvery);
+    co_await self.scheduler_.sleep_until(Scheduler::now() + kCommentInterval);
     self.publish();
   }
 }
 
 Task<> StreamSource::serve(StreamSource& self, Socket socket) {
-  transport::Buffer in(kReadRoom);
+  transport::Buffer input(kReadBytes);
   protocol::HttpParser parser(protocol::HttpParser::Message::kRequest, {16384, 0});
   SubscriptionRequest request;
   for (auto step = protocol::HttpParser::Step::kMore; step != protocol::HttpParser::Step::kDone;) {
-    const auto io = co_await socket.read(in, kReadRoom, Scheduler::now() + kWriteTimeout);
+    const auto io = co_await socket.read(input, kReadBytes, Scheduler::now() + kWriteTimeout);
     if (!io.ok()) co_return;
-    std::size_t used = 0;
-    step = parser.feed(in.view(), used, request);
-    in.consume(used);
-    while (step == protocol::HttpParser::Step::kHead) step = parser.feed(in.view(), used, request);
+    std::size_t consumed = 0;
+    step = parser.feed(input.view(), consumed, request);
+    input.consume(consumed);
+    while (step == protocol::HttpParser::Step::kHead) step = parser.feed(input.view(), consumed, request);
   }
   const auto write = [&self, &socket](std::string_view bytes) -> Task<bool> {
     const auto io = co_await socket.write(bytes, Scheduler::now() + kWriteTimeout);
-    self.use_.bytes += io.bytes;
-    ++self.use_.writes;
+    self.stats_.bytes += io.bytes;
+    ++self.stats_.writes;
     co_return io.ok();
   };
-  ++self.use_.subscribers;
-  bool up = co_await write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-  // A cursor past the last event is of an earlier life of the source: it gets all of this one.
+  ++self.stats_.subscribers;
+  bool connected = co_await write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+  // A cursor past the last event is from before a restart of the source: the subscriber gets all events.
   const bool known = request.last_event >= 0 && request.last_event <= self.last();
   auto cursor = static_cast<std::size_t>(known ? request.last_event : 0);
-  double commented = Scheduler::now();
-  while (up && !socket.closed_by_peer()) {
-    const std::size_t at = self.offsets_[cursor];
-    if (at < self.encoded_.size()) {
-      const std::string piece = self.encoded_.substr(at, kLargestWrite);
-      // The piece ends where an event does, unless that event alone is longer.
-      auto end = std::upper_bound(self.offsets_.begin(), self.offsets_.end(), at + piece.size()) - 1;
-      if (*end <= at) ++end;
-      const std::size_t length = *end - at;
+  double last_comment = Scheduler::now();
+  while (connected && !socket.closed_by_peer()) {
+    const std::size_t offset = self.offsets_[cursor];
+    if (offset < self.encoded_.size()) {
+      const std::string chunk = self.encoded_.substr(offset, kMaxWriteBytes);
+      // The write ends at the end of an event. An event that is longer than the largest write is sent whole.
+      auto end = std::upper_bound(self.offsets_.begin(), self.offsets_.end(), offset + chunk.size()) - 1;
+      if (*end <= offset) ++end;
+      const std::size_t length = *end - offset;
       const auto next = static_cast<std::size_t>(end - self.offsets_.begin());
-      up = length <= piece.size() ? co_await write(std::string_view(piece).substr(0, length))
-                                  : co_await write(self.encoded_.substr(at, length));
+      connected = length <= chunk.size() ? co_await write(std::string_view(chunk).substr(0, length))
+                                         : co_await write(self.encoded_.substr(offset, length));
       cursor = next;
       continue;
     }
-    if (Scheduler::now() - commented >= kCommentEvery) {
-      commented = Scheduler::now();
-      up = co_await write(":\n\n");
+    if (Scheduler::now() - last_comment >= kCommentInterval) {
+      last_comment = Scheduler::now();
+      connected = co_await write(":\n\n");
       continue;
     }
     co_await self.next_publication();
   }
-  --self.use_.subscribers;
+  --self.stats_.subscribers;
 }
 
 }  // namespace hareramp::capacity
--- a/experiments/capacity/table.hpp
+++ b/experiments/capacity/table.hpp
@@ -1,5 +1,5 @@
-// Measured rows as comma-separated values: a first line with the command that made them, a line of column
-// names, a line a row.
+// A table of measurements, stored as comma-separated values: the first line holds the command that produced
+// it, the second the column names, and each further line one row.
 #pragma once
 
 #include <iosfwd>
@@ -13,18 +13,18 @@
 class Table {
  public:
   Table(std::string command, std::vector<std::string> columns);
-  // Throws std::runtime_error naming the file where it can't be read, or where a row is not as wide as the
-  // head.
+  // Throws std::runtime_error with the path if the file can't be read or a row has more or fewer values than
+  // the header has columns.
   static Table load(const std::string& path);
-  void save(std::ostream& to) const;
+  void save(std::ostream& output) const;
 
-  // As many values as there are columns.
+  // Appends a row. Throws std::runtime_error unless it has one value per column.
   void add(const std::vector<double>& row);
   const std::string& command() const { return command_; }
   const std::vector<std::vector<double>>& rows() const { return rows_; }
-  // Throws std::runtime_error naming the column where there is none of that name.
+  // Index of a column. Throws std::runtime_error with the name if the column does not exist.
   std::size_t column(const std::string& name) const;
-  // Two columns of the rows in which every other named column has the value given.
+  // The values of two columns, for the rows in which each column named in `where` has the given value.
   std::vector<std::pair<double, double>> points(const std::string& x, const std::string& y,
                                                 const std::map<std::string, double>& where = {}) const;
 
--- a/experiments/capacity/usage.cpp
+++ b/experiments/capacity/usage.cpp
@@ -16,17 +16,17 @@
   ProcessUsage usage;
   std::ifstream status(fmt::format("/proc/{}/status", process));
   for (std::string line; std::getline(status, line);) {
-    std::istringstream words(line);
+    std::istringstream fields(line);
     std::string name;
     double kb = 0;
-    words >> name >> kb;
+    fields >> name >> kb;
     if (name == "VmRSS:") usage.resident_mb = kb / kKbPerMb;
     if (name == "VmHWM:") usage.peak_mb = kb / kKbPerMb;
   }
-  // The main thread's own count, in nanoseconds: what is measured here has one thread.
-  std::ifstream schedule(fmt::format("/proc/{}/schedstat", process));
+  // Processor time of the main thread in nanoseconds: the measured processes have a single thread.
+  std::ifstream schedstat(fmt::format("/proc/{}/schedstat", process));
   double nanoseconds = 0;
-  schedule >> nanoseconds;
+  schedstat >> nanoseconds;
   usage.processor_s = nanoseconds * 1e-9;
   return usage;
 }
--- a/experiments/capacity/usage.hpp
+++ b/experiments/capacity/usage.hpp
@@ -1,4 +1,4 @@
-// What the system counts of a process: processor time and memory, read from /proc.
+// Processor time and memory of a process, read from /proc.
 #pragma once
 
 #include <sys/types.h>
@@ -8,11 +8,11 @@
 struct ProcessUsage {
   double processor_s = 0;  // user and system time of its main thread
   double resident_mb = 0;
-  double peak_mb = 0;  // the most that was resident
+  double peak_mb = 0;  // highest resident memory since the start or the last reset_peak
 };
-// All zero once the process has gone.
+// All values are zero if the process does not exist.
 ProcessUsage usage_of(pid_t process);
-// Lets the peak be counted anew from now on.
+// Resets the peak of resident memory to the current value.
 void reset_peak(pid_t process);
 
 }  // namespace hareramp::capacity
--- a/tests/capacity/capacity_test.cpp
+++ b/tests/capacity/capacity_test.cpp
@@ -1,5 +1,5 @@
-// The capacity experiment: its page agrees with the committed tables, its own arithmetic, and a small form of
-// what it plays, whose bounds are counts and ratios.
+// Tests of the capacity experiment: docs/CAPACITY.md agrees with the committed tables, the arithmetic is
+// correct, and measurements at a small size keep bounds on counts and ratios.
 #include <filesystem>
 #include <fstream>
 
@@ -31,12 +31,12 @@
   return setup;
 }
 
-// The value of a column in the only row.
+// The value of a column in the table's only row.
 double value(const Table& table, const std::string& column) {
   return table.rows().at(0).at(table.column(column));
 }
 
-Table play(const std::string& name, double size, Setup setup = small_setup()) {
+Table run_measurement(const std::string& name, double size, Setup setup = small_setup()) {
   setup.sizes = {size};
   for (const Measurement& measurement : measurements())
     if (measurement.name == name) return measurement.run(setup);
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE("the page has the figures that the committed tables give") {
+TEST_CASE("the page contains the figures computed from the committed tables") {
   const std::string results = std::string(HARERAMP_SOURCE) + "/experiments/capacity/results";
   const std::string page = contents(std::string(HARERAMP_SOURCE) + "/docs/CAPACITY.md");
   const auto blocks = report_blocks(results);
@@ -57,7 +57,7 @@
   CHECK_THROWS(report_blocks("/nowhere"));
 }
 
-TEST_CASE("a fitted line: slope, intercept and how much it explains") {
+TEST_CASE("linear fit: slope, intercept and R squared") {
   const Line exact = fit({{0, 1}, {1, 3}, {2, 5}, {10, 21}});
   CHECK(exact.slope == doctest::Approx(2));
   CHECK(exact.intercept == doctest::Approx(1));
@@ -66,38 +66,42 @@
   CHECK(fit({{0, 0}, {1, 1}, {2, 0}, {3, 1}}).r_squared < 0.5);
 }
 
-TEST_CASE("a purge's object leads back to its number") {
+TEST_CASE("the number of a purge can be recovered from its object id") {
   for (const std::uint64_t purge : {1u, 2u, 99'999u}) CHECK(purge_of_object(object_of_purge(purge)) == purge);
 }
 
-TEST_CASE("an even split of a cold parent's quota: together no more than it bears by then, less for each") {
+TEST_CASE(
+    "even split of a starting parent's quota: more directors get less each and stay within its limit "
+    "together") {
   const ColdQuota few = measure_cold_quota(4), many = measure_cold_quota(300);
   CHECK(few.attempts_each > 50 * many.attempts_each);
   CHECK(many.attempts_each > 0);
   CHECK(300 * many.attempts_each <=
-        1.05 * many.limit_all);  // it has warmed up a little by the end of the span
+        1.05 * many.limit_all);  // its capacity has grown a little by the end of the interval
 }
 
-TEST_CASE("small form: a backlog of purges is worked off in bounded memory, at the source and at a relay") {
-  const Table direct = play("catch_up", 40'000);
+TEST_CASE(
+    "small size: a director catches up with a backlog in bounded memory, at the source and at a relay") {
+  const Table direct = run_measurement("catch_up", 40'000);
   CHECK(value(direct, "events") >= 40'000);
   CHECK(value(direct, "over_rest_mb") < 8);
   CHECK(value(direct, "stream_kb") > 3000);
-  const Table relayed = play("relay_catch_up", 40'000);
-  CHECK(value(relayed, "events") < 4'000);  // what still matters of them
+  const Table relayed = run_measurement("relay_catch_up", 40'000);
+  CHECK(value(relayed, "events") < 4'000);  // the relay leaves out changes that no longer matter
   CHECK(value(relayed, "stream_kb") < value(direct, "stream_kb") / 5);
 }
 
 TEST_CASE(
-    "small form: a relay tells each director every purge, in a fraction of the source's bytes and writes") {
-  const Table direct = play("source_subscribers", 40), relayed = play("relay_subscribers", 40);
-  CHECK(value(relayed, "delivered_share") > 0.5);  // the rest is on its way: late on busy cores, not lost
+    "small size: a relay delivers purges to each director in a fraction of the source's bytes and writes") {
+  const Table direct = run_measurement("source_subscribers", 40),
+              relayed = run_measurement("relay_subscribers", 40);
+  CHECK(value(relayed, "delivered_share") > 0.5);  // the rest is in transit: late on busy cores, not lost
   CHECK(value(relayed, "kb_per_s") < value(direct, "kb_per_s") / 2);
   CHECK(value(relayed, "writes_per_s") < value(direct, "writes_per_s") / 4);
 }
 
-TEST_CASE("small form: a relay is killed, and no director misses a purge or is told one twice") {
-  const Table table = play("relay_faults", static_cast<double>(Fault::kRelayKilled));
+TEST_CASE("small size: after a relay is killed, no director misses a purge or receives one twice") {
+  const Table table = run_measurement("relay_faults", static_cast<double>(Fault::kRelayKilled));
   CHECK(value(table, "issued") > 1000);
   CHECK(value(table, "behind") == 0);
   CHECK(value(table, "missing") == 0);
