--- a/tests/routing/routing_test.cpp
+++ b/tests/routing/routing_test.cpp
@@ -489,7 +489,8 @@
   };
   fixture.send_event(0, "5", R"({"seq":5,"invalidate":{"bucket":17,"time":1}})", true);
   fixture.wait_until([&] { return fixture.subscription->last() == 5; });
-  fixture.subscription->set_endpoints({{second.address, "second"}});  // the first connection stays open and silent
+  fixture.subscription->set_endpoints(
+      {{second.address, "second"}});  // the first connection stays open and silent
   expect_subscribed(second, "5");
   fixture.wait_until([&] { return fixture.changes.connections[0]->ended; });
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
@@ -498,9 +499,11 @@
                               "id: 6\ndata: {\"seq\":6,\"invalidate\":{\"bucket\":18,\"time\":1}}\n\n");
   fixture.wait_until([&] { return fixture.subscription->last() == 6; });
   fixture.wait_until([&] { return fixture.counters.purges == 2; });
-  fixture.subscription->set_endpoints({{second.address, "second"}});  // the same address: the connection stays
+  fixture.subscription->set_endpoints(
+      {{second.address, "second"}});  // the same address: the connection stays
   fixture.subscription->set_endpoints({{unused_address(fixture.scheduler), "unused"}});
-  fixture.subscription->set_endpoints({{third.address, "third"}});  // several moves at once: the last one counts
+  fixture.subscription->set_endpoints(
+      {{third.address, "third"}});  // several moves at once: the last one counts
   expect_subscribed(third, "6");
   CHECK(second.connections.size() == 1);
 }
