--- a/src/flow/table.hpp
+++ b/src/flow/table.hpp
@@ -51,7 +51,7 @@
 };
 
 struct TableBounds {
-  std::size_t flows = 0;        // limit; beyond it the flow with the oldest record ends early, reason kNoRoom
+  std::size_t flows = 0;        // limit; beyond it the flow with the oldest record ends (kLackOfResources)
   std::size_t connections = 0;  // limit; beyond it opened() returns nothing and the caller counts that
   Seconds active = 0, idle = 0;
 };
